--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -244,7 +244,7 @@
     @property
     def at_rest(self) -> bool:
         """Return whether no call is under way at this node and none of its links."""
-        busy = self.home.calls or self.peers.watched or self.stopping is not None
+        busy = self.home.calls or self.peers.active_links or self.stopping is not None
         return not busy
 
     def tick(self) -> None:
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -60,7 +60,7 @@
         self.budgets = RepeatBudgets(repeats)
         self.reasons: Counter[str] = Counter()
         self.local_calls = 0
-        peers.on_news = self.heard
+        peers.on_load_report = self.heard
 
     def repeat(self, service: str) -> bool:
         """Take a repeat out of the budget of a service if there is room."""
@@ -218,8 +218,10 @@
             self.begin_here(attempt, call)
             return
         link = self.peers.link(endpoint.host)
-        pending = link.submit(call, lambda outcome: attempt.take(outcome, link.news))
-        attempt.call_off = partial(link.withdraw, pending)
+        pending = link.submit(
+            call, lambda outcome: attempt.take(outcome, link.load_report)
+        )
+        attempt.call_off = partial(link.cancel, pending)
 
     def begin_here(self, attempt: Attempt, call: HomeCall) -> None:
         """Have the home of this node run a call."""
--- a/sequoiaspoke/sidecar/crashnews.py
+++ b/sequoiaspoke/sidecar/crashnews.py
@@ -78,7 +78,7 @@
         """Tell some nodes of each other zone."""
         for hosts in self.other_zones().values():
             for host in self.drawn(hosts, TOLD_A_ZONE):
-                self.peers.link(host).post(frame.frame)
+                self.peers.link(host).send_or_queue(frame.frame)
 
     def tell_all(self, reply: Callable[[wire.Frame], None]) -> None:
         """Tell one node all that is known here, if there is anything."""
@@ -96,7 +96,7 @@
         question = wire.Frame(crashes=wire.Crashes([], self.checksum, compare=True))
         for hosts in self.other_zones().values():
             for host in self.drawn(hosts, 1):
-                self.peers.link(host).post(question)
+                self.peers.link(host).send_or_queue(question)
 
     @property
     def checksum(self) -> int:
--- a/sequoiaspoke/sidecar/frames.py
+++ b/sequoiaspoke/sidecar/frames.py
@@ -82,7 +82,7 @@
         self.send(prepared.frame)
 
     @abstractmethod
-    async def read(self, take: Callable[[wire.Frame], None]) -> str:
+    async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
         """Hand on frames until the link ends; return why it did."""
 
     @abstractmethod
@@ -116,7 +116,7 @@
         self.pieces: list[bytes] = []
         self.size = 0
         self.needed = HEADER.size
-        self.take: Callable[[wire.Frame], None] | None = None
+        self.on_frame: Callable[[wire.Frame], None] | None = None
         self.reason = ""
         self.ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
@@ -135,9 +135,9 @@
         else:
             self.write(data)
 
-    async def read(self, take: Callable[[wire.Frame], None]) -> str:
+    async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
         """Hand on frames until the link ends; return why it did."""
-        self.take = take
+        self.on_frame = on_frame
         self.cut()
         try:
             return await self.ended
@@ -148,7 +148,7 @@
         """Take bytes of the peer."""
         self.pieces.append(data)
         self.size += len(data)
-        if self.size >= self.needed and self.take is not None:
+        if self.size >= self.needed and self.on_frame is not None:
             self.cut()
 
     def cut(self) -> None:
@@ -169,7 +169,7 @@
                     break
                 payload = buffer[begin + HEADER.size : end]
                 begin = end
-                self.take(decode(payload))
+                self.on_frame(decode(payload))
         except MessageError as error:
             self.reason = str(error)
             self.close()
--- a/sequoiaspoke/sidecar/gossip.py
+++ b/sequoiaspoke/sidecar/gossip.py
@@ -26,7 +26,7 @@
         """Return whether this node lacks news that others may have."""
 
     @abstractmethod
-    def ask(self) -> wire.Ask:
+    def knowledge_request(self) -> wire.Ask:
         """Return the question for what another node knows better."""
 
     @abstractmethod
@@ -34,17 +34,19 @@
         """Return what this node knows, or None if that is no use to the other."""
 
     @abstractmethod
-    def learn(self, knowledge: wire.Knowledge, ahead: float) -> bool:
+    def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
         """Take what another node knows; return False if it has to tell all of it.
 
         Parameters
         ----------
-        ahead : float
+        clock_offset : float
             Seconds by which the other node's clock is ahead of this one's.
         """
 
     @abstractmethod
-    def confirmed(self, confirmed: wire.Confirmed, ahead: float) -> None:
+    def handle_confirmation(
+        self, confirmed: wire.Confirmed, clock_offset: float
+    ) -> None:
         """Take a reader's word that nothing has changed."""
 
     @abstractmethod
@@ -52,11 +54,11 @@
         """Tell another node what is known and every change from now on."""
 
     @abstractmethod
-    def holds(self, frames: Frames, holds: wire.Holds) -> None:
+    def update_held_version(self, frames: Frames, holds: wire.Holds) -> None:
         """Note what a subscriber has by now."""
 
     @abstractmethod
-    def take_crashes(
+    def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
         """Take news of crashes, or a question for them."""
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -30,22 +30,22 @@
         self.peer: tuple[str, int] | None = None
         self.zone = ""
         # Seconds by which the other node's clock is ahead of this one's.
-        self.ahead = 0.0
+        self.clock_offset = 0.0
 
-    def take(self, frame: wire.Frame) -> None:
+    def handle_frame(self, frame: wire.Frame) -> None:
         """Take a frame."""
         if frame.hello is None and self.peer is None:
             raise MessageError("a frame before the greeting")
         if frame.call is not None:
-            self.call(frame.call)
+            self.handle_call(frame.call)
         elif frame.cancel is not None:
             self.server.home.cancel((self.peer, frame.cancel.number))
         elif frame.ping is not None:
-            news = pack_news(self.server.home.news())
-            pong = wire.Pong(frame.ping.sent, clock.now(), news)
+            load_report = pack_news(self.server.home.news())
+            pong = wire.Pong(frame.ping.sent, clock.now(), load_report)
             self.frames.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
-            self.hello(frame.hello)
+            self.handle_hello(frame.hello)
         elif frame.ask is not None:
             knowledge = self.server.gossip.answer(frame.ask)
             if knowledge is not None:
@@ -53,18 +53,18 @@
         elif frame.subscribe is not None:
             self.server.gossip.subscribe(self.frames, frame.subscribe)
         elif frame.holds is not None:
-            self.server.gossip.holds(self.frames, frame.holds)
+            self.server.gossip.update_held_version(self.frames, frame.holds)
         elif frame.crashes is not None:
-            self.server.gossip.take_crashes(frame.crashes, self.frames.send)
+            self.server.gossip.handle_crashes(frame.crashes, self.frames.send)
         elif frame.knowledge is not None:
-            if not self.server.gossip.learn(frame.knowledge, self.ahead):
-                self.frames.send(wire.Frame(ask=self.server.gossip.ask()))
+            if not self.server.gossip.learn(frame.knowledge, self.clock_offset):
+                self.frames.send(wire.Frame(ask=self.server.gossip.knowledge_request()))
 
-    def hello(self, hello: wire.Hello) -> None:
+    def handle_hello(self, hello: wire.Hello) -> None:
         """Take the name of the other node; its older links end unread."""
         self.peer = (hello.host, hello.incarnation)
         self.zone = hello.zone
-        self.ahead = hello.clock - clock.now()
+        self.clock_offset = hello.clock - clock.now()
         for link in list(self.server.links):
             if link is not self and link.peer == self.peer:
                 link.frames.close()
@@ -77,19 +77,19 @@
         )
         self.frames.send(wire.Frame(welcome=welcome))
 
-    def call(self, call: wire.Call) -> None:
+    def handle_call(self, call: wire.Call) -> None:
         """Take a call."""
         number, home_call = call.number, unpack_call(call)
         self.server.home.submit(
             (self.peer, number),
             home_call,
-            lambda outcome: self.tell(number, home_call, outcome),
+            lambda outcome: self.send_outcome(number, home_call, outcome),
         )
 
-    def tell(self, number: int, call: HomeCall, outcome: Outcome) -> None:
+    def send_outcome(self, number: int, call: HomeCall, outcome: Outcome) -> None:
         """Send what came of a call."""
-        news = self.server.home.news(call.route, call.rank)
-        self.frames.send(pack_outcome(number, outcome, news))
+        load_report = self.server.home.news(call.route, call.rank)
+        self.frames.send(pack_outcome(number, outcome, load_report))
 
 
 class LinkServer(ConnectionServer):
@@ -104,21 +104,21 @@
         self.incarnation = incarnation
         self.log = log
         self.links: list[AcceptedLink] = []
-        self.serving: set[asyncio.Task[None]] = set()
+        self.link_tasks: set[asyncio.Task[None]] = set()
 
     def connection(self) -> TcpFrames:
         """Return the frames of the next link, which is served."""
         frames = TcpFrames()
-        serving = asyncio.ensure_future(self.serve(frames))
-        self.serving.add(serving)
-        serving.add_done_callback(self.serving.discard)
+        task = asyncio.ensure_future(self.serve(frames))
+        self.link_tasks.add(task)
+        task.add_done_callback(self.link_tasks.discard)
         return frames
 
     async def serve(self, frames: Frames) -> None:
         """Serve a link."""
         link = AcceptedLink(frames, self)
         self.links.append(link)
-        reason = await link.frames.read(link.take)
+        reason = await link.frames.read(link.handle_frame)
         self.links.remove(link)
         if reason not in ("closed", "closed-here"):
             self.log.event("link-broken", peer=link.peer, reason=reason)
--- a/sequoiaspoke/sidecar/metrics.py
+++ b/sequoiaspoke/sidecar/metrics.py
@@ -90,7 +90,7 @@
             "held": lambda: len(home.suspicion.quarantine.held(clock.now())),
             "reads_store": lambda: int(node.duty.must_read(clock.now())),
             "subscribers": lambda: len(node.spread.subscribers),
-            "links": lambda: sum(x.greeted for x in node.peers.links.values()),
+            "links": lambda: sum(x.established for x in node.peers.links.values()),
             "loop_delay_seconds": lambda: node.loop_delay,
             "store_reads": lambda: node.follower.store.calls,
             "upstream_connects": lambda: node.upstream.connects,
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -29,7 +29,7 @@
 ASKED, ASK_EVERY = 2, 0.5
 
 
-def ignore_host_news(host: str, news: News) -> None:
+def ignore_host_load_report(host: str, load_report: News) -> None:
     """Do nothing; until an entry wants the news."""
 
 
@@ -38,7 +38,7 @@
 
     Attributes
     ----------
-    watched : set of LinkClient
+    active_links : set of LinkClient
         Links on which something is awaited.
     followed : set of str
         Nodes that read the store for this one; their links are held open.
@@ -62,8 +62,8 @@
         self.rng = rng
         self.log = log
         self.links: dict[str, LinkClient] = {}
-        self.watched: set[LinkClient] = set()
-        self.on_news: Callable[[str, News], None] = ignore_host_news
+        self.active_links: set[LinkClient] = set()
+        self.on_load_report: Callable[[str, News], None] = ignore_host_load_report
         self.asked = float("-inf")
         self.followed: set[str] = set()
 
@@ -77,9 +77,9 @@
                 self.gossip,
                 self.log,
                 self.dialer,
-                self.watched,
+                self.active_links,
             )
-            link.on_news = partial(self.on_news, host)
+            link.on_load_report = partial(self.on_load_report, host)
             self.links[host] = link
         return link
 
@@ -103,31 +103,31 @@
             if endpoint.zone == self.identity.zone
             and endpoint.host != self.identity.host
         }
-        kept = set(rank(self.identity.host, sorted(near))[:KEPT_LINKS])
-        kept |= self.followed & hosts
-        for host in sorted(kept):
+        persistent = set(rank(self.identity.host, sorted(near))[:KEPT_LINKS])
+        persistent |= self.followed & hosts
+        for host in sorted(persistent):
             self.link(host)
         for host, link in self.links.items():
-            link.kept = host in kept
-            if link.kept or link.failing:
+            link.persistent = host in persistent
+            if link.persistent or link.failing:
                 link.open()
 
     def tick(self, now: float) -> None:
         """Look after the links and ask for news if what is known is old."""
-        for link in list(self.watched):
+        for link in list(self.active_links):
             link.tick(now)
-            if link.at_rest:
-                self.watched.discard(link)
+            if link.idle:
+                self.active_links.discard(link)
         if self.state.stale(now) and now - self.asked > ASK_EVERY:
             self.asked = now
-            self.ask()
+            self.request_knowledge()
 
-    def ask(self) -> None:
+    def request_knowledge(self) -> None:
         """Ask some nodes for what they know."""
-        open_links = [link for link in self.links.values() if link.greeted]
+        open_links = [link for link in self.links.values() if link.established]
         self.rng.shuffle(open_links)
         for link in open_links[:ASKED]:
-            link.ask()
+            link.request_knowledge()
 
     def nodes(self) -> int:
         """Return how many nodes the endpoints stand for."""
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -112,14 +112,14 @@
             self.crash_news.tell_all(frames.send)
         self.publish()
 
-    def take_crashes(
+    def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
         """Take news of crashes, or a question for them."""
         if self.crash_news is not None:
             self.crash_news.take(message, reply)
 
-    def holds(self, frames: Frames, holds: wire.Holds) -> None:
+    def update_held_version(self, frames: Frames, holds: wire.Holds) -> None:
         """Note what a subscriber has by now."""
         for each in self.subscribers:
             if each.frames is frames:
@@ -139,7 +139,7 @@
     def publish(self) -> None:
         """Tell the subscribers what they have not been told."""
         state = self.state
-        self.tell_held()
+        self.announce_version()
         self.subscribers = [each for each in self.subscribers if not each.frames.closed]
         if not state.complete:
             return
@@ -191,24 +191,24 @@
 
     # As one who learns.
 
-    def ask(self) -> wire.Ask:
+    def knowledge_request(self) -> wire.Ask:
         """Return the question for what another node knows better."""
         age = min(self.state.age(clock.now()), 1e6)
         return wire.Ask(self.state.version, age)
 
-    def learn(self, knowledge: wire.Knowledge, ahead: float) -> bool:
+    def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
         """Take what another node knows; return False if it has to tell all of it.
 
         Parameters
         ----------
-        ahead : float
+        clock_offset : float
             Seconds by which the other node's clock is ahead of this one's. What it
             tells may have been on its way for seconds, through a link that was cut or
             full; by its age at the time of sending it would be taken for fresh.
         """
         now = clock.now()
         self.duty.learn_rates(knowledge.link_rates or {})
-        told = unpack(knowledge, ahead)
+        told = unpack(knowledge, clock_offset)
         age = self.state.age(now)
         if self.state.stale(now) and told.as_of > self.state.as_of:
             self.log.event(
@@ -225,9 +225,14 @@
         self.duty.heard(told.as_of)
         return True
 
-    def confirmed(self, confirmed: wire.Confirmed, ahead: float) -> None:
+    def handle_confirmation(
+        self, confirmed: wire.Confirmed, clock_offset: float
+    ) -> None:
         """Take a reader's word that it has read nothing since it last told."""
-        as_of, answered_at = confirmed.as_of - ahead, confirmed.answered_at - ahead
+        as_of, answered_at = (
+            confirmed.as_of - clock_offset,
+            confirmed.answered_at - clock_offset,
+        )
         self.state.heard_of_store(answered_at)
         self.state.learn(Knowledge(confirmed.revision, as_of))
         self.duty.heard(as_of, answered_at)
@@ -252,7 +257,7 @@
         if self.crash_news is not None:
             self.crash_news.tell_all(link.send)
 
-    def tell_held(self) -> None:
+    def announce_version(self) -> None:
         """Tell the readers which configuration this node has, if that is news to them.
 
         The one that is not to tell it first need not tell it at all then.
@@ -262,7 +267,7 @@
             return
         self.told_holding = holding
         for host, link in self.tellers.items():
-            link.tell_held(self.state.version, host == self.duty.first_reader)
+            link.announce_version(self.state.version, host == self.duty.first_reader)
 
     def follow_readers(self, peers: Peers) -> None:
         """Keep links to the zone's readers and subscribe to those that are new."""
@@ -272,6 +277,6 @@
             del self.tellers[host]
         for host in sorted(readers - peers.followed):
             link = peers.link(host)
-            if link.greeted:
+            if link.established:
                 self.subscribe_to(link)
         peers.followed = readers
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -46,7 +46,7 @@
             "cold-in-doubt": cold.doubted(now),
             "cold-bound": cold.most,
             "readers": list(node.duty.readers),
-            "links": sum(link.greeted for link in node.peers.links.values()),
+            "links": sum(link.established for link in node.peers.links.values()),
             "store-reads": node.follower.store.calls,
         },
     }
--- a/sequoiaspoke/sidecar/wirecalls.py
+++ b/sequoiaspoke/sidecar/wirecalls.py
@@ -16,12 +16,12 @@
     from sequoiaspoke.core.mesh.outcome import Headers, Outcome
 
 
-def pack_call(call: HomeCall, number: int, ahead: float) -> wire.Frame:
+def pack_call(call: HomeCall, number: int, clock_offset: float) -> wire.Frame:
     """Return the frame for a call.
 
     Parameters
     ----------
-    ahead : float
+    clock_offset : float
         Seconds by which the other node's clock is ahead of this one's.
     """
     message = wire.Call(
@@ -33,8 +33,8 @@
         target=call.request.target,
         headers=flatten(call.request.headers),
         body=call.request.body,
-        on_time=call.on_time + ahead,
-        deadline=call.deadline + ahead,
+        on_time=call.on_time + clock_offset,
+        deadline=call.deadline + clock_offset,
         rank=call.rank,
         idempotent=call.idempotent,
     )
--- a/sequoiaspoke/sidecar/wireknowledge.py
+++ b/sequoiaspoke/sidecar/wireknowledge.py
@@ -44,12 +44,12 @@
     )
 
 
-def unpack(message: wire.Knowledge, ahead: float) -> Knowledge:
+def unpack(message: wire.Knowledge, clock_offset: float) -> Knowledge:
     """Return what a node knows from its message; raise MessageError.
 
     Parameters
     ----------
-    ahead : float
+    clock_offset : float
         Seconds by which the other node's clock is ahead of this one's.
     """
     config, config_revision = None, 0
@@ -57,7 +57,7 @@
         config, config_revision = unpack_config(message.config)
     return Knowledge(
         revision=message.revision,
-        as_of=message.as_of - ahead,
+        as_of=message.as_of - clock_offset,
         whole=message.whole,
         endpoints=tuple(unpack_endpoint(each) for each in message.endpoints),
         gone=tuple(unpack_departure(each) for each in message.gone),
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -111,13 +111,13 @@
         if not self.closed and not self.out.broken:
             self.out.push(frame)
 
-    async def read(self, take):
+    async def read(self, on_frame):
         while not self.closed:
             frame = await self.into.pop()
             if frame is None:
                 break
             if not self.closed:
-                take(frame)
+                on_frame(frame)
         self.close()
         return "closed"
 
@@ -269,8 +269,8 @@
             client.closed = True
             if client.frames is not None:
                 client.frames.close()
-            if client.driver is not None:
-                client.driver.cancel()
+            if client.run_task is not None:
+                client.run_task.cancel()
         for running in self.home.calls.values():
             running.dropped = True
             if running.task is not None:
--- a/sequoiaspoke/tests/test_mesh_property.py
+++ b/sequoiaspoke/tests/test_mesh_property.py
@@ -73,7 +73,7 @@
         self.caught("ran 2 times")
 
     def test_a_home_that_restarted_is_not_asked_for_calls_of_the_one_before(self):
-        self.patch(LinkClient, "lose_sent", lambda self, reason: None)
+        self.patch(LinkClient, "fail_sent", lambda self, reason: None)
         self.caught("ran 2 times")
 
     def test_what_was_sent_is_not_told_as_not_run(self):
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -13,7 +13,7 @@
 from sequoiaspoke.sidecar.gossip import Gossip
 from sequoiaspoke.sidecar.home import SETTLE_SECONDS, Home
 from sequoiaspoke.sidecar.homecall import HomeCall
-from sequoiaspoke.sidecar.linkclient import HEARD_LATELY, LinkClient
+from sequoiaspoke.sidecar.linkclient import RECENT_SECONDS, LinkClient
 from sequoiaspoke.sidecar.linkserver import LinkServer
 from sequoiaspoke.sidecar.logs import EventLog
 from sequoiaspoke.sidecar.pending import LinkIdentity
@@ -27,25 +27,25 @@
     def uninformed(self):
         return False
 
-    def ask(self):
+    def knowledge_request(self):
         return wire.Ask(0, 0.0)
 
     def answer(self, ask):
         return None
 
-    def learn(self, knowledge, ahead):
+    def learn(self, knowledge, clock_offset):
         return True
 
-    def confirmed(self, confirmed, ahead):
+    def handle_confirmation(self, confirmed, clock_offset):
         pass
 
-    def holds(self, frames, holds):
+    def update_held_version(self, frames, holds):
         pass
 
     def subscribe(self, frames, subscribe):
         pass
 
-    def take_crashes(self, message, reply):
+    def handle_crashes(self, message, reply):
         pass
 
     def link_up(self, link):
@@ -107,7 +107,7 @@
             call, lambda outcome: told.done() or told.set_result(outcome)
         )
         told.add_done_callback(
-            lambda told: self.link.withdraw(pending) if told.cancelled() else None
+            lambda told: self.link.cancel(pending) if told.cancelled() else None
         )
         return told
 
@@ -163,7 +163,7 @@
             call = world.begin()
             await world.until(lambda: world.upstream.runs)
             world.link.frames.close()
-            await world.until(lambda: world.link.greeted and world.home.counts)
+            await world.until(lambda: world.link.established and world.home.counts)
             world.upstream.gate.set()
             self.assertEqual((await call).body, b"body of /1")
             self.assertEqual(world.upstream.runs, ["/1"])
@@ -191,7 +191,7 @@
         async def scenario(world):
             world.upstream.gate.set()
             await world.begin("/first")
-            await asyncio.sleep(2 * HEARD_LATELY)
+            await asyncio.sleep(2 * RECENT_SECONDS)
             call = world.begin("/second", idempotent=False)
             await asyncio.sleep(0)
             for link in list(world.server.links):
@@ -300,7 +300,7 @@
             await world.begin("/1")
             world.link.failing = True
             world.link.frames.close()
-            await world.until(lambda: world.link.greeted and not world.link.failing)
+            await world.until(lambda: world.link.established and not world.link.failing)
 
         self.play(scenario)
 
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -67,9 +67,9 @@
         if frame.knowledge is not None:
             self.learner.spread.learn(frame.knowledge, 0.0)
         elif frame.confirmed is not None:
-            self.learner.spread.confirmed(frame.confirmed, 0.0)
+            self.learner.spread.handle_confirmation(frame.confirmed, 0.0)
 
-    async def read(self, take):
+    async def read(self, on_frame):
         return "closed"
 
     def close(self):
@@ -169,7 +169,7 @@
         frames = self.other.follow(self.reader, first=False)
         self.reader.read(12, config=5, i_3=9)
         self.assertEqual(self.other.knows(), (3, {"i-1": 4, "i-2": 4, "i-3": 9}))
-        self.reader.spread.holds(frames, wire.Holds(5, False))
+        self.reader.spread.update_held_version(frames, wire.Holds(5, False))
         self.time += 2 * SECOND_AFTER
         self.reader.spread.tick(self.time)
         told = [frame.knowledge for frame in frames.frames if frame.knowledge]
@@ -197,18 +197,18 @@
             self.reader.read(10)
         self.reader.read(11, config=4)
         self.time += 3.0
-        ahead = 500.0  # seconds by which the reader's clock is
+        clock_offset = 500.0  # seconds by which the reader's clock is
         for frame in frames.frames[1:]:
             if frame.confirmed is not None:
                 told = wire.Confirmed(
                     frame.confirmed.revision,
-                    frame.confirmed.as_of + ahead,
-                    frame.confirmed.answered_at + ahead,
+                    frame.confirmed.as_of + clock_offset,
+                    frame.confirmed.answered_at + clock_offset,
                 )
-                self.other.spread.confirmed(told, ahead)
+                self.other.spread.handle_confirmation(told, clock_offset)
             else:
-                frame.knowledge.as_of += ahead
-                self.other.spread.learn(frame.knowledge, ahead)
+                frame.knowledge.as_of += clock_offset
+                self.other.spread.learn(frame.knowledge, clock_offset)
         self.assertEqual(self.other.state.version, 4)
         self.assertEqual(self.other.state.as_of, self.time - 3.0)
         self.assertTrue(self.other.duty.must_read(self.time))
@@ -223,7 +223,7 @@
     def test_a_reader_that_is_behind_takes_nothing_back_from_who_is_ahead(self):
         frames = self.other.follow(self.reader)
         self.other.read(14, config=7)
-        self.reader.spread.holds(frames, wire.Holds(7, True))
+        self.reader.spread.update_held_version(frames, wire.Holds(7, True))
         self.time += 1.0
         self.reader.read(12, config=5)
         self.assertIsNotNone(frames.frames[-1].confirmed)
@@ -303,7 +303,7 @@
         change = frames.frames[-1].knowledge
         self.assertFalse(self.other.spread.learn(change, 0.0))
         self.assertEqual(self.other.state.version, 4)
-        answer = self.reader.spread.answer(self.other.spread.ask())
+        answer = self.reader.spread.answer(self.other.spread.knowledge_request())
         self.assertTrue(self.other.spread.learn(answer, 0.0))
         self.assertEqual(self.other.state.version, 6)
 
@@ -311,7 +311,9 @@
         # While the store is away all nodes of a fleet ask each other twice a second.
         self.other.follow(self.reader)
         self.time += 10.0
-        self.assertIsNone(self.reader.spread.answer(self.other.spread.ask()))
+        self.assertIsNone(
+            self.reader.spread.answer(self.other.spread.knowledge_request())
+        )
         self.reader.state.confirmed_as_of(self.time)
         self.assertIsNotNone(self.reader.spread.answer(wire.Ask(3, 10.0)))
 
