--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -65,7 +65,7 @@
     def repeat(self, service: str) -> bool:
         """Take a repeat out of the budget of a service if there is room."""
         budget = self.budgets.of(service)
-        return budget.spend(self.peers.nodes(), clock.now())
+        return budget.spend(self.peers.node_count(), clock.now())
 
     def choose(self, progress: Progress) -> Endpoint | None:
         """Return the endpoint of the next attempt."""
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -24,9 +24,9 @@
 # Links held open without calls, to nodes of the own zone: by them a node that starts
 # while the store turns it away is found and told what it needs. Four reach it
 # unless all four nodes die with it.
-KEPT_LINKS = 4
+PERSISTENT_LINKS = 4
 # Nodes asked at once for news, and seconds between two rounds.
-ASKED, ASK_EVERY = 2, 0.5
+REQUEST_PEERS, REQUEST_INTERVAL = 2, 0.5
 
 
 def ignore_host_load_report(host: str, load_report: News) -> None:
@@ -40,7 +40,7 @@
     ----------
     active_links : set of LinkClient
         Links on which something is awaited.
-    followed : set of str
+    reader_hosts : set of str
         Nodes that read the store for this one; their links are held open.
     """
 
@@ -64,8 +64,8 @@
         self.links: dict[str, LinkClient] = {}
         self.active_links: set[LinkClient] = set()
         self.on_load_report: Callable[[str, News], None] = ignore_host_load_report
-        self.asked = float("-inf")
-        self.followed: set[str] = set()
+        self.last_request = float("-inf")
+        self.reader_hosts: set[str] = set()
 
     def link(self, host: str) -> LinkClient:
         """Return the link to a node."""
@@ -97,14 +97,14 @@
             if not link.pending:
                 link.close()
                 del self.links[host]
-        near = {
+        same_zone = {
             endpoint.host
             for endpoint in endpoints
             if endpoint.zone == self.identity.zone
             and endpoint.host != self.identity.host
         }
-        persistent = set(rank(self.identity.host, sorted(near))[:KEPT_LINKS])
-        persistent |= self.followed & hosts
+        persistent = set(rank(self.identity.host, sorted(same_zone))[:PERSISTENT_LINKS])
+        persistent |= self.reader_hosts & hosts
         for host in sorted(persistent):
             self.link(host)
         for host, link in self.links.items():
@@ -118,18 +118,18 @@
             link.tick(now)
             if link.idle:
                 self.active_links.discard(link)
-        if self.state.stale(now) and now - self.asked > ASK_EVERY:
-            self.asked = now
+        if self.state.stale(now) and now - self.last_request > REQUEST_INTERVAL:
+            self.last_request = now
             self.request_knowledge()
 
     def request_knowledge(self) -> None:
         """Ask some nodes for what they know."""
         open_links = [link for link in self.links.values() if link.established]
         self.rng.shuffle(open_links)
-        for link in open_links[:ASKED]:
+        for link in open_links[:REQUEST_PEERS]:
             link.request_knowledge()
 
-    def nodes(self) -> int:
+    def node_count(self) -> int:
         """Return how many nodes the endpoints stand for."""
         return max(1, self.state.directory.hosts())
 
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -275,8 +275,8 @@
         readers = {host for host in self.duty.readers if host != own}
         for host in self.tellers.keys() - readers:
             del self.tellers[host]
-        for host in sorted(readers - peers.followed):
+        for host in sorted(readers - peers.reader_hosts):
             link = peers.link(host)
             if link.established:
                 self.subscribe_to(link)
-        peers.followed = readers
+        peers.reader_hosts = readers
