--- a/sequoiaspoke/measure/cost.py
+++ b/sequoiaspoke/measure/cost.py
@@ -258,7 +258,7 @@
         for home in self.homes:
             home.stop()
             for link in list(home.links):
-                link.frames.close()
+                link.stream.close()
         for server in self.servers:
             server.close()
 
--- a/sequoiaspoke/sidecar/crashnews.py
+++ b/sequoiaspoke/sidecar/crashnews.py
@@ -13,7 +13,7 @@
 
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.crashwire import pack_crash, unpack_crash
-from sequoiaspoke.sidecar.frames import Prepared
+from sequoiaspoke.sidecar.frames import SharedFrame
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
@@ -61,20 +61,20 @@
         """Tell what this node has found out, or tell on what it heard."""
         if not crashes:
             return
-        frame = Prepared(self.frame(crashes))
+        frame = SharedFrame(self.frame(crashes))
         self.tell_zone(frame)
         if self.duty.on_duty or not heard:
             self.tell_zones(frame)
 
-    def tell_zone(self, frame: Prepared) -> None:
+    def tell_zone(self, frame: SharedFrame) -> None:
         """Tell the readers of the zone, and whom this node reads for."""
         for link in self.spread.tellers.values():
             link.send(frame.frame)
         for subscriber in self.spread.subscribers:
-            if not subscriber.frames.closed:
-                subscriber.frames.send_prepared(frame)
+            if not subscriber.stream.closed:
+                subscriber.stream.send_shared(frame)
 
-    def tell_zones(self, frame: Prepared) -> None:
+    def tell_zones(self, frame: SharedFrame) -> None:
         """Tell some nodes of each other zone."""
         for hosts in self.other_zones().values():
             for host in self.drawn(hosts, TOLD_A_ZONE):
--- a/sequoiaspoke/sidecar/frames.py
+++ b/sequoiaspoke/sidecar/frames.py
@@ -50,7 +50,7 @@
     return frame
 
 
-class Prepared:
+class SharedFrame:
     """A frame that goes to many nodes and is encoded once for all of them."""
 
     def __init__(self, frame: wire.Frame) -> None:
@@ -62,7 +62,7 @@
         return encode(self.frame)
 
 
-class Frames(ABC):
+class FrameStream(ABC):
     """Frames to and from another node.
 
     Attributes
@@ -77,9 +77,9 @@
     def send(self, frame: wire.Frame) -> None:
         """Send a frame."""
 
-    def send_prepared(self, prepared: Prepared) -> None:
+    def send_shared(self, shared: SharedFrame) -> None:
         """Send a frame that goes to others, too."""
-        self.send(prepared.frame)
+        self.send(shared.frame)
 
     @abstractmethod
     async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
@@ -94,28 +94,28 @@
     """Opens links to other nodes."""
 
     @abstractmethod
-    async def dial(self, host: str, port: int) -> Frames:
+    async def dial(self, host: str, port: int) -> FrameStream:
         """Open a link; raise OSError, ConnectionRefusedError if nothing listens."""
 
 
 class TcpDialer(Dialer):
     """Opens links over TCP."""
 
-    async def dial(self, host: str, port: int) -> Frames:
+    async def dial(self, host: str, port: int) -> FrameStream:
         """Open a link; raise OSError, ConnectionRefusedError if nothing listens."""
         loop = asyncio.get_running_loop()
-        _, link = await loop.create_connection(TcpFrames, host, port)
+        _, link = await loop.create_connection(TcpFrameStream, host, port)
         return link
 
 
-class TcpFrames(Connection, Frames):
+class TcpFrameStream(Connection, FrameStream):
     """Frames over a connection."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.pieces: list[bytes] = []
-        self.size = 0
-        self.needed = HEADER.size
+        self.chunks: list[bytes] = []
+        self.buffered = 0
+        self.bytes_needed = HEADER.size
         self.on_frame: Callable[[wire.Frame], None] | None = None
         self.reason = ""
         self.ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
@@ -124,9 +124,9 @@
         """Send a frame; a peer that does not read loses the link."""
         self.send_data(encode(frame))
 
-    def send_prepared(self, prepared: Prepared) -> None:
+    def send_shared(self, shared: SharedFrame) -> None:
         """Send a frame that goes to others, too."""
-        self.send_data(prepared.data)
+        self.send_data(shared.data)
 
     def send_data(self, data: bytes) -> None:
         """Send bytes, unless too many wait already."""
@@ -138,7 +138,7 @@
     async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
         """Hand on frames until the link ends; return why it did."""
         self.on_frame = on_frame
-        self.cut()
+        self.parse()
         try:
             return await self.ended
         finally:
@@ -146,35 +146,35 @@
 
     def received(self, data: bytes) -> None:
         """Take bytes of the peer."""
-        self.pieces.append(data)
-        self.size += len(data)
-        if self.size >= self.needed and self.on_frame is not None:
-            self.cut()
+        self.chunks.append(data)
+        self.buffered += len(data)
+        if self.buffered >= self.bytes_needed and self.on_frame is not None:
+            self.parse()
 
-    def cut(self) -> None:
+    def parse(self) -> None:
         """Hand on the whole frames that have come; end the link at one that is none."""
-        buffer = self.pieces[0] if len(self.pieces) == 1 else b"".join(self.pieces)
-        begin = 0
+        buffer = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
+        start = 0
         try:
             while not self.closed:
-                self.needed = HEADER.size
-                if len(buffer) - begin < self.needed:
+                self.bytes_needed = HEADER.size
+                if len(buffer) - start < self.bytes_needed:
                     break
-                (length,) = HEADER.unpack_from(buffer, begin)
+                (length,) = HEADER.unpack_from(buffer, start)
                 if length > FRAME_LIMIT:
                     raise MessageError(f"frame of {length} bytes")
-                self.needed += length
-                end = begin + self.needed
+                self.bytes_needed += length
+                end = start + self.bytes_needed
                 if len(buffer) < end:
                     break
-                payload = buffer[begin + HEADER.size : end]
-                begin = end
+                payload = buffer[start + HEADER.size : end]
+                start = end
                 self.on_frame(decode(payload))
         except MessageError as error:
             self.reason = str(error)
             self.close()
-        self.pieces = [buffer[begin:]]
-        self.size = len(buffer) - begin
+        self.chunks = [buffer[start:]]
+        self.buffered = len(buffer) - start
 
     def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
         """Tell whoever reads why the link has ended."""
--- a/sequoiaspoke/sidecar/gossip.py
+++ b/sequoiaspoke/sidecar/gossip.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
@@ -50,11 +50,11 @@
         """Take a reader's word that nothing has changed."""
 
     @abstractmethod
-    def subscribe(self, frames: Frames, subscribe: wire.Subscribe) -> None:
+    def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
         """Tell another node what is known and every change from now on."""
 
     @abstractmethod
-    def update_held_version(self, frames: Frames, holds: wire.Holds) -> None:
+    def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
         """Note what a subscriber has by now."""
 
     @abstractmethod
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from sequoiaspoke.core.mesh.outcome import Outcome
-    from sequoiaspoke.sidecar.frames import Dialer, Frames
+    from sequoiaspoke.sidecar.frames import Dialer, FrameStream
     from sequoiaspoke.sidecar.gossip import Gossip
     from sequoiaspoke.sidecar.homecall import HomeCall
     from sequoiaspoke.sidecar.logs import EventLog
@@ -82,7 +82,7 @@
         self.gossip = gossip
         self.log = log
         self.pending: dict[int, Pending] = {}
-        self.frames: Frames | None = None
+        self.stream: FrameStream | None = None
         self.established = False
         self.persistent = False
         self.closed = False
@@ -134,8 +134,8 @@
         pending.over = True
         if self.pending.pop(pending.number, None) is None:
             return
-        if self.frames is not None and pending.sent_to is not None:
-            self.frames.send(wire.Frame(cancel=wire.Cancel(pending.number)))
+        if self.stream is not None and pending.sent_to is not None:
+            self.stream.send(wire.Frame(cancel=wire.Cancel(pending.number)))
 
     def stale(self) -> bool:
         """Return whether the home was not heard lately.
@@ -149,8 +149,8 @@
     def probe_failed(self, unsent: list[Pending]) -> None:
         """Give the link up, and the calls that were not sent on it."""
         self.failing = True
-        if self.frames is not None:
-            self.frames.close()
+        if self.stream is not None:
+            self.stream.close()
         for pending in unsent:
             pending.resolve(NotRun("link-silent"))
 
@@ -161,8 +161,8 @@
             # the home: sent again it would run twice.
             return
         pending.sent_to = self.incarnation
-        assert self.frames is not None
-        self.frames.send(pack_call(pending.call, pending.number, self.clock_offset))
+        assert self.stream is not None
+        self.stream.send(pack_call(pending.call, pending.number, self.clock_offset))
 
     # The link.
 
@@ -175,8 +175,8 @@
     def close(self) -> None:
         """Give the link up for good; what is under way fails."""
         self.closed = True
-        if self.frames is not None:
-            self.frames.close()
+        if self.stream is not None:
+            self.stream.close()
         if self.run_task is not None:
             self.run_task.cancel()
         self.fail_all("home-left")
@@ -209,7 +209,7 @@
     async def run_connection(self) -> str | None:
         """Dial once and read until the link ends; return why dialling failed."""
         try:
-            self.frames = await asyncio.wait_for(
+            self.stream = await asyncio.wait_for(
                 self.dialer.dial(*self.address), DIAL_TIMEOUT
             )
         except (OSError, TimeoutError) as error:
@@ -226,15 +226,15 @@
             dialled,
             self.gossip.uninformed(),
         )
-        self.frames.send(wire.Frame(hello=hello))
+        self.stream.send(wire.Frame(hello=hello))
         # The greeting asks for a sign, too.
         self.last_heard = self.last_pinged = dialled
-        reason = await self.frames.read(self.handle_frame)
+        reason = await self.stream.read(self.handle_frame)
         was_established, self.established = self.established, False
         self.dispatch_held()
         self.failing |= self.leaving
         self.leaving = False
-        self.frames = None
+        self.stream = None
         if was_established:
             self.gossip.link_down(self)
             self.log.event("link-down", peer=self.address[0], reason=reason)
@@ -295,8 +295,8 @@
 
     def send(self, frame: wire.Frame) -> None:
         """Send a frame if the link stands."""
-        if self.frames is not None and self.established:
-            self.frames.send(frame)
+        if self.stream is not None and self.established:
+            self.stream.send(frame)
 
     def send_or_queue(self, frame: wire.Frame) -> None:
         """Send a frame now, or as the next thing once the link stands."""
@@ -316,7 +316,7 @@
 
     def handle_welcome(self, welcome: wire.Welcome) -> None:
         """Take the home's greeting and send what waits."""
-        assert self.frames is not None
+        assert self.stream is not None
         self.round_trip = float("inf")
         self.update_clock_offset(self.last_pinged, welcome.clock)
         if welcome.incarnation != self.incarnation:
@@ -382,27 +382,27 @@
     @property
     def idle(self) -> bool:
         """Return whether nothing is awaited of the home."""
-        return not self.pending and (self.established or self.frames is None)
+        return not self.pending and (self.established or self.stream is None)
 
     def tick(self, now: float) -> None:
         """Ask a silent home for a sign, and give it up if none comes."""
-        if self.frames is None:
+        if self.stream is None:
             return
         if not self.established:
             if now - self.last_pinged > HANDSHAKE_TIMEOUT:
-                self.frames.close()
+                self.stream.close()
             return
         if not self.pending:
             return
         silent = now - max(self.last_heard, self.pending_since)
         if silent > SILENT_AFTER and now - self.last_pinged < SILENT_AFTER:
             self.failing = True
-            self.frames.close()
+            self.stream.close()
         elif silent > PING_AFTER and now - self.last_pinged > PING_AFTER:
             self.ping(now)
 
     def ping(self, now: float) -> None:
         """Ask the home for a sign."""
         self.last_pinged = now
-        if self.frames is not None:
-            self.frames.send(wire.Frame(ping=wire.Ping(now)))
+        if self.stream is not None:
+            self.stream.send(wire.Frame(ping=wire.Ping(now)))
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -7,14 +7,14 @@
 
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.frames import TcpFrames
+from sequoiaspoke.sidecar.frames import TcpFrameStream
 from sequoiaspoke.sidecar.sockets import ConnectionServer
 from sequoiaspoke.sidecar.wirecalls import pack_news, pack_outcome, unpack_call
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.outcome import Outcome
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.gossip import Gossip
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.homecall import HomeCall
@@ -24,8 +24,8 @@
 class AcceptedLink:
     """A link that another node opened."""
 
-    def __init__(self, frames: Frames, server: LinkServer) -> None:
-        self.frames = frames
+    def __init__(self, stream: FrameStream, server: LinkServer) -> None:
+        self.stream = stream
         self.server = server
         self.peer: tuple[str, int] | None = None
         self.zone = ""
@@ -43,22 +43,22 @@
         elif frame.ping is not None:
             load_report = pack_news(self.server.home.news())
             pong = wire.Pong(frame.ping.sent, clock.now(), load_report)
-            self.frames.send(wire.Frame(pong=pong))
+            self.stream.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
             self.handle_hello(frame.hello)
         elif frame.ask is not None:
             knowledge = self.server.gossip.answer(frame.ask)
             if knowledge is not None:
-                self.frames.send(wire.Frame(knowledge=knowledge))
+                self.stream.send(wire.Frame(knowledge=knowledge))
         elif frame.subscribe is not None:
-            self.server.gossip.subscribe(self.frames, frame.subscribe)
+            self.server.gossip.subscribe(self.stream, frame.subscribe)
         elif frame.holds is not None:
-            self.server.gossip.update_held_version(self.frames, frame.holds)
+            self.server.gossip.update_held_version(self.stream, frame.holds)
         elif frame.crashes is not None:
-            self.server.gossip.handle_crashes(frame.crashes, self.frames.send)
+            self.server.gossip.handle_crashes(frame.crashes, self.stream.send)
         elif frame.knowledge is not None:
             if not self.server.gossip.learn(frame.knowledge, self.clock_offset):
-                self.frames.send(wire.Frame(ask=self.server.gossip.knowledge_request()))
+                self.stream.send(wire.Frame(ask=self.server.gossip.knowledge_request()))
 
     def handle_hello(self, hello: wire.Hello) -> None:
         """Take the name of the other node; its older links end unread."""
@@ -67,7 +67,7 @@
         self.clock_offset = hello.clock - clock.now()
         for link in list(self.server.links):
             if link is not self and link.peer == self.peer:
-                link.frames.close()
+                link.stream.close()
         home = self.server.home
         welcome = wire.Welcome(
             self.server.incarnation,
@@ -75,7 +75,7 @@
             home.leaving,
             self.server.gossip.uninformed(),
         )
-        self.frames.send(wire.Frame(welcome=welcome))
+        self.stream.send(wire.Frame(welcome=welcome))
 
     def handle_call(self, call: wire.Call) -> None:
         """Take a call."""
@@ -89,7 +89,7 @@
     def send_outcome(self, number: int, call: HomeCall, outcome: Outcome) -> None:
         """Send what came of a call."""
         load_report = self.server.home.news(call.route, call.rank)
-        self.frames.send(pack_outcome(number, outcome, load_report))
+        self.stream.send(pack_outcome(number, outcome, load_report))
 
 
 class LinkServer(ConnectionServer):
@@ -106,19 +106,19 @@
         self.links: list[AcceptedLink] = []
         self.link_tasks: set[asyncio.Task[None]] = set()
 
-    def connection(self) -> TcpFrames:
+    def connection(self) -> TcpFrameStream:
         """Return the frames of the next link, which is served."""
-        frames = TcpFrames()
-        task = asyncio.ensure_future(self.serve(frames))
+        stream = TcpFrameStream()
+        task = asyncio.ensure_future(self.serve(stream))
         self.link_tasks.add(task)
         task.add_done_callback(self.link_tasks.discard)
-        return frames
+        return stream
 
-    async def serve(self, frames: Frames) -> None:
+    async def serve(self, stream: FrameStream) -> None:
         """Serve a link."""
-        link = AcceptedLink(frames, self)
+        link = AcceptedLink(stream, self)
         self.links.append(link)
-        reason = await link.frames.read(link.handle_frame)
+        reason = await link.stream.read(link.handle_frame)
         self.links.remove(link)
         if reason not in ("closed", "closed-here"):
             self.log.event("link-broken", peer=link.peer, reason=reason)
@@ -126,4 +126,4 @@
     def announce_leaving(self) -> None:
         """Tell every entry that this home takes no new calls."""
         for link in self.links:
-            link.frames.send(wire.Frame(leaving=wire.Leaving()))
+            link.stream.send(wire.Frame(leaving=wire.Leaving()))
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -13,7 +13,7 @@
 
 from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.frames import Prepared
+from sequoiaspoke.sidecar.frames import SharedFrame
 from sequoiaspoke.sidecar.gossip import Gossip
 from sequoiaspoke.sidecar.wireknowledge import pack, unpack
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
@@ -23,7 +23,7 @@
 
     from sequoiaspoke.core.mesh.reading import ReadingDuty
     from sequoiaspoke.sidecar.crashnews import CrashNews
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.peers import Peers
@@ -53,7 +53,7 @@
         The last confirmation by the store that it was told.
     """
 
-    frames: Frames
+    stream: FrameStream
     version: int
     first: bool = True
     serial: int = 0
@@ -100,16 +100,16 @@
             return None
         return pack(state.knowledge(0, ask.config_version))
 
-    def subscribe(self, frames: Frames, subscribe: wire.Subscribe) -> None:
+    def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
         """Tell another node what is known and every change from now on."""
-        kept = [each for each in self.subscribers if each.frames is not frames]
-        new = Subscriber(frames, subscribe.config_version, subscribe.first)
+        kept = [each for each in self.subscribers if each.stream is not stream]
+        new = Subscriber(stream, subscribe.config_version, subscribe.first)
         self.subscribers = [*kept, new]
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
             # Others read for this zone from now on, maybe.
             self.state.changed()
         if self.crash_news is not None:
-            self.crash_news.tell_all(frames.send)
+            self.crash_news.tell_all(stream.send)
         self.publish()
 
     def handle_crashes(
@@ -119,10 +119,10 @@
         if self.crash_news is not None:
             self.crash_news.take(message, reply)
 
-    def update_held_version(self, frames: Frames, holds: wire.Holds) -> None:
+    def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
         """Note what a subscriber has by now."""
         for each in self.subscribers:
-            if each.frames is frames:
+            if each.stream is stream:
                 each.version = max(each.version, holds.config_version)
                 each.first = holds.first
 
@@ -140,11 +140,11 @@
         """Tell the subscribers what they have not been told."""
         state = self.state
         self.announce_version()
-        self.subscribers = [each for each in self.subscribers if not each.frames.closed]
+        self.subscribers = [each for each in self.subscribers if not each.stream.closed]
         if not state.complete:
             return
         # Most have been told the same, and packing is the dear part.
-        packed: dict[tuple[int, int, int, int], Prepared] = {}
+        packed: dict[tuple[int, int, int, int], SharedFrame] = {}
         now = clock.now()
         holds_back = self.holds_back(now)
         self.holding_back = False
@@ -160,14 +160,14 @@
                 continue
             has = (each.serial, base, each.rates_told, each.evacuations_told)
             if has not in packed:
-                packed[has] = Prepared(self.frame_since(*has))
+                packed[has] = SharedFrame(self.frame_since(*has))
             each.serial = state.directory.serial
             each.rates_told = self.duty.rates_learnt
             each.evacuations_told = state.evacuations.serial
             if not held_back:
                 each.version = max(each.version, state.version)
             each.confirmed = state.read_at
-            each.frames.send_prepared(packed[has])
+            each.stream.send_shared(packed[has])
 
     def frame_since(
         self, serial: int, version: int, rates_told: int, evacuations_told: int
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -20,7 +20,7 @@
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.entry import Entry
-from sequoiaspoke.sidecar.frames import Dialer, Frames
+from sequoiaspoke.sidecar.frames import Dialer, FrameStream
 from sequoiaspoke.sidecar.home import Home
 from sequoiaspoke.sidecar.linkserver import LinkServer
 from sequoiaspoke.sidecar.logs import EventLog
@@ -101,7 +101,7 @@
         self.wake.set()
 
 
-class PipeFrames(Frames):
+class PipeFrames(FrameStream):
     """Frames over two pipes."""
 
     def __init__(self, into, out):
@@ -264,11 +264,11 @@
         """End as a killed process does: nothing is said, connections reset."""
         self.up = False
         for link in list(self.server.links):
-            link.frames.close()
+            link.stream.close()
         for client in self.peers.links.values():
             client.closed = True
-            if client.frames is not None:
-                client.frames.close()
+            if client.stream is not None:
+                client.stream.close()
             if client.run_task is not None:
                 client.run_task.cancel()
         for running in self.home.calls.values():
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -214,7 +214,7 @@
         """End as a killed process does: nothing is said, connections reset."""
         self.up = False
         for link in list(self.server.links):
-            link.frames.close()
+            link.stream.close()
         for client in self.sidecar.peers.links.values():
             client.close()
         for task in list(self.tasks):
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -39,10 +39,10 @@
     def handle_confirmation(self, confirmed, clock_offset):
         pass
 
-    def update_held_version(self, frames, holds):
+    def update_held_version(self, stream, holds):
         pass
 
-    def subscribe(self, frames, subscribe):
+    def subscribe(self, stream, subscribe):
         pass
 
     def handle_crashes(self, message, reply):
@@ -121,7 +121,7 @@
         address = self.socket.getsockname()[:2]
         self.server.stop()
         for link in list(self.server.links):
-            link.frames.close()
+            link.stream.close()
         self.home = Home(self.upstream, Directory(), self.log)
         self.home.take_slots(SLOTS)
         self.server = LinkServer(self.home, NoGossip(), 8, self.log)
@@ -131,7 +131,7 @@
         self.link.close()
         self.server.stop()
         for link in list(self.server.links):
-            link.frames.close()
+            link.stream.close()
 
 
 class MeshLinkTests(TestCase):
@@ -162,7 +162,7 @@
         async def scenario(world):
             call = world.begin()
             await world.until(lambda: world.upstream.runs)
-            world.link.frames.close()
+            world.link.stream.close()
             await world.until(lambda: world.link.established and world.home.counts)
             world.upstream.gate.set()
             self.assertEqual((await call).body, b"body of /1")
@@ -176,7 +176,7 @@
             call = world.begin()
             await world.until(lambda: world.upstream.runs)
             for link in list(world.server.links):
-                link.frames.close()
+                link.stream.close()
             world.upstream.gate.set()
             self.assertEqual((await call).status, 200)
             self.assertEqual(world.upstream.runs, ["/1"])
@@ -195,7 +195,7 @@
             call = world.begin("/second", idempotent=False)
             await asyncio.sleep(0)
             for link in list(world.server.links):
-                link.frames.close()
+                link.stream.close()
             outcome = await call
             if isinstance(outcome, NotRun):
                 self.assertNotIn("/second", world.upstream.runs)
@@ -299,7 +299,7 @@
             world.upstream.gate.set()
             await world.begin("/1")
             world.link.failing = True
-            world.link.frames.close()
+            world.link.stream.close()
             await world.until(lambda: world.link.established and not world.link.failing)
 
         self.play(scenario)
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -12,7 +12,7 @@
 from sequoiaspoke.sidecar import clock, spread
 from sequoiaspoke.sidecar.changelog import log_endpoints
 from sequoiaspoke.sidecar.follower import Follower
-from sequoiaspoke.sidecar.frames import Frames, decode, encode
+from sequoiaspoke.sidecar.frames import FrameStream, decode, encode
 from sequoiaspoke.sidecar.logs import EventLog
 from sequoiaspoke.sidecar.source import (
     Changes,
@@ -52,7 +52,7 @@
         )
 
 
-class Told(Frames):
+class RecordingStream(FrameStream):
     """Hands every frame on at once, as the other node would read it."""
 
     def __init__(self):
@@ -99,12 +99,12 @@
 
     def follow(self, reader, first=True):
         """Subscribe to a reader."""
-        frames = Told()
-        frames.learner = self
+        stream = RecordingStream()
+        stream.learner = self
         rate = self.duty.link_rates[self.duty.host]
         subscribe = wire.Subscribe(self.state.version, first, self.duty.host, rate)
-        reader.spread.subscribe(frames, subscribe)
-        return frames
+        reader.spread.subscribe(stream, subscribe)
+        return stream
 
     def knows(self):
         held = self.state.directory.held
@@ -120,12 +120,12 @@
         self.reader.read(10, config=3, i_1=4, i_2=4)
 
     def test_a_subscriber_is_told_all_and_then_what_changes(self):
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.assertEqual(self.other.knows(), (3, {"i-1": 4, "i-2": 4}))
         self.reader.read(12, config=5, i_3=9)
         self.reader.read(13, i_1=None)
         self.assertEqual(self.other.knows(), (5, {"i-2": 4, "i-3": 9}))
-        first, second, third = (frame.knowledge for frame in frames.frames)
+        first, second, third = (frame.knowledge for frame in stream.frames)
         self.assertTrue(first.whole and not second.whole)
         self.assertEqual(len(second.endpoints), 1)
         delta, _ = unpack_config(second.config)
@@ -134,10 +134,10 @@
         self.assertEqual(self.other.state.table.config, self.reader.state.table.config)
 
     def test_a_confirmation_without_news_is_told(self):
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.time += 0.9
         self.reader.state.confirmed_as_of(self.time)
-        self.assertEqual(len(frames.frames), 2)
+        self.assertEqual(len(stream.frames), 2)
         self.assertEqual(self.other.duty.confirmed, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
@@ -157,22 +157,22 @@
         self.assertEqual(lines[-1][1]["digest"], many[1]["digest"])
 
     def test_nothing_is_told_twice(self):
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.reader.spread.publish()
-        self.assertEqual(len(frames.frames), 1)
+        self.assertEqual(len(stream.frames), 1)
 
     def test_a_configuration_is_told_by_one_reader_first(self):
         # 1,680 routes are added and both readers tell each of 27 nodes of all of them:
         # links of 2.5 Mbit/s take 2.2 s, and upstreams that leave are heard of as late.
         self.patch(spread, "LARGE_CHANGE", 0)
         self.time += 1.0
-        frames = self.other.follow(self.reader, first=False)
+        stream = self.other.follow(self.reader, first=False)
         self.reader.read(12, config=5, i_3=9)
         self.assertEqual(self.other.knows(), (3, {"i-1": 4, "i-2": 4, "i-3": 9}))
-        self.reader.spread.update_held_version(frames, wire.Holds(5, False))
+        self.reader.spread.update_held_version(stream, wire.Holds(5, False))
         self.time += 2 * SECOND_AFTER
         self.reader.spread.tick(self.time)
-        told = [frame.knowledge for frame in frames.frames if frame.knowledge]
+        told = [frame.knowledge for frame in stream.frames if frame.knowledge]
         self.assertEqual([each.config is None for each in told], [False, True])
 
     def test_the_second_reader_tells_who_did_not_hear_from_the_first(self):
@@ -190,15 +190,15 @@
         # A link is cut, or full of a large configuration, and what a reader said comes
         # seconds later. Taken for fresh, the node would believe its readers for another
         # 1.4 s, and go on sending calls to an upstream that has left meanwhile.
-        frames = self.other.follow(self.reader)
-        frames.learner = None
+        stream = self.other.follow(self.reader)
+        stream.learner = None
         for _ in range(2):
             self.time += 0.9
             self.reader.read(10)
         self.reader.read(11, config=4)
         self.time += 3.0
         clock_offset = 500.0  # seconds by which the reader's clock is
-        for frame in frames.frames[1:]:
+        for frame in stream.frames[1:]:
             if frame.confirmed is not None:
                 told = wire.Confirmed(
                     frame.confirmed.revision,
@@ -221,24 +221,24 @@
         self.assertEqual(self.other.state.version, 5)
 
     def test_a_reader_that_is_behind_takes_nothing_back_from_who_is_ahead(self):
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.other.read(14, config=7)
-        self.reader.spread.update_held_version(frames, wire.Holds(7, True))
+        self.reader.spread.update_held_version(stream, wire.Holds(7, True))
         self.time += 1.0
         self.reader.read(12, config=5)
-        self.assertIsNotNone(frames.frames[-1].confirmed)
+        self.assertIsNotNone(stream.frames[-1].confirmed)
         self.reader.read(15, config=8)
         self.assertEqual(self.other.state.version, 8)
 
     def test_that_nothing_has_changed_is_told_in_a_few_bytes(self):
         # Each node hears it twice a second from its readers, and does little else
         # while no call comes.
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.time += 0.9
         self.reader.read(10)
-        confirmed = frames.frames[-1].confirmed
+        confirmed = stream.frames[-1].confirmed
         self.assertEqual((confirmed.revision, confirmed.as_of), (10, self.time))
-        self.assertTrue(len(encode(frames.frames[-1])) < 30)
+        self.assertTrue(len(encode(stream.frames[-1])) < 30)
         self.assertEqual(self.other.state.as_of, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
@@ -261,12 +261,12 @@
     def test_a_confirmation_tells_of_entries_that_may_be_gone(self):
         # An upstream's entry vanished as the store came back. Until it is known whether
         # it is gone for good, all subscribers are told again and again.
-        frames = self.other.follow(self.reader)
+        stream = self.other.follow(self.reader)
         self.reader.state.store_failed("store-unavailable", "down")
         self.time += 10.0
         self.reader.read(11, i_2=None)
         self.reader.read(11)
-        self.assertEqual(len(frames.frames[-1].knowledge.lapsing), 1)
+        self.assertEqual(len(stream.frames[-1].knowledge.lapsing), 1)
 
     def test_what_is_learnt_is_no_confirmation_of_ones_own(self):
         # Two nodes that follow each other must not confirm each other's knowledge: both
@@ -297,10 +297,10 @@
     def test_a_change_of_another_version_is_asked_for_whole(self):
         # The two readers saw different versions of a storm of changes.
         self.other.read(11, config=4)
-        frames = Told()
-        self.reader.spread.subscribe(frames, wire.Subscribe(3, True, "10.0.0.9", 0.0))
+        stream = RecordingStream()
+        self.reader.spread.subscribe(stream, wire.Subscribe(3, True, "10.0.0.9", 0.0))
         self.reader.read(14, config=6)
-        change = frames.frames[-1].knowledge
+        change = stream.frames[-1].knowledge
         self.assertFalse(self.other.spread.learn(change, 0.0))
         self.assertEqual(self.other.state.version, 4)
         answer = self.reader.spread.answer(self.other.spread.knowledge_request())
