--- a/sequoiaspoke/sidecar/callerserver.py
+++ b/sequoiaspoke/sidecar/callerserver.py
@@ -97,7 +97,7 @@
             self.paused = True
             self.transport.pause_reading()
 
-    def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
+    def lost(self, error: Exception | None, closed_locally: bool) -> None:  # noqa: ARG002
         """Cancel the calls of a caller that has left."""
         self.server.connections.discard(self)
         for exchange in self.pending:
@@ -291,7 +291,7 @@
         """Return what callers may do."""
         return self.current_limits
 
-    def connection(self) -> CallerConnection:
+    def new_connection(self) -> CallerConnection:
         """Return what serves the next caller."""
         return CallerConnection(self)
 
--- a/sequoiaspoke/sidecar/frames.py
+++ b/sequoiaspoke/sidecar/frames.py
@@ -176,8 +176,8 @@
         self.chunks = [buffer[start:]]
         self.buffered = len(buffer) - start
 
-    def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
+    def lost(self, error: Exception | None, closed_locally: bool) -> None:  # noqa: ARG002
         """Tell whoever reads why the link has ended."""
         if not self.ended.done():
-            ended = "closed-here" if ended_here else "closed"
+            ended = "closed-here" if closed_locally else "closed"
             self.ended.set_result(self.reason or ended)
--- a/sequoiaspoke/sidecar/httpclient.py
+++ b/sequoiaspoke/sidecar/httpclient.py
@@ -108,7 +108,7 @@
             self.fail("answer-malformed")
             self.close()
 
-    def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
+    def lost(self, error: Exception | None, closed_locally: bool) -> None:  # noqa: ARG002
         """Take the end of the connection."""
         if self.until_close and error is None:
             self.complete()
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -106,7 +106,7 @@
         self.links: list[AcceptedLink] = []
         self.link_tasks: set[asyncio.Task[None]] = set()
 
-    def connection(self) -> TcpFrameStream:
+    def new_connection(self) -> TcpFrameStream:
         """Return the frames of the next link, which is served."""
         stream = TcpFrameStream()
         task = asyncio.ensure_future(self.serve(stream))
--- a/sequoiaspoke/sidecar/sockets.py
+++ b/sequoiaspoke/sidecar/sockets.py
@@ -19,8 +19,8 @@
 
 # Seconds after which a silent peer is probed, between probes, and until sent bytes
 # must be acknowledged; a dead connection is found in about two seconds.
-PROBE_AFTER, PROBE_EVERY, PROBES = 1, 1, 1
-UNACKED_MS = 2000
+KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES = 1, 1, 1
+USER_TIMEOUT_MS = 2000
 # Connections that may wait to be accepted: callers that come back after a restart of
 # this node open theirs in one moment, and one that finds no place is opened again
 # after a second only.
@@ -43,7 +43,7 @@
     def connection_made(self, transport: Any) -> None:
         """Take the connection that stands."""
         self.transport = transport
-        watch_for_silence(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
         self.opened()
 
     def opened(self) -> None:
@@ -60,22 +60,22 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Take the end of the connection."""
-        ended_here, self.closed = self.closed, True
-        self.lost(error, ended_here)
+        closed_locally, self.closed = self.closed, True
+        self.lost(error, closed_locally)
 
     @abstractmethod
     def received(self, data: bytes) -> None:
         """Take bytes of the peer."""
 
     @abstractmethod
-    def lost(self, error: Exception | None, ended_here: bool) -> None:
+    def lost(self, error: Exception | None, closed_locally: bool) -> None:
         """Take the end of the connection.
 
         Parameters
         ----------
         error : Exception or None
             What broke the connection; None if the peer closed it.
-        ended_here : bool
+        closed_locally : bool
             Whether this end was closed first.
         """
 
@@ -100,52 +100,52 @@
     """Accepts connections on some addresses."""
 
     def __init__(self) -> None:
-        self.listening: list[socket.socket] = []
-        self.opening: list[asyncio.Task[None]] = []
+        self.listeners: list[socket.socket] = []
+        self.accept_tasks: list[asyncio.Task[None]] = []
         self.servers: list[asyncio.AbstractServer] = []
 
     @abstractmethod
-    def connection(self) -> Connection:
+    def new_connection(self) -> Connection:
         """Return what serves the next connection."""
 
     def listen(self, host: str, port: int) -> None:
         """Open an address; raise AddressInUseError."""
         try:
-            listening = socket.create_server((host, port), backlog=BACKLOG)
+            listener = socket.create_server((host, port), backlog=BACKLOG)
         except OSError as error:
             raise AddressInUseError(f"{host}:{port}: {error}") from error
-        self.add_sockets([listening])
+        self.add_sockets([listener])
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
         """Accept connections on sockets that listen."""
-        for listening in sockets:
-            listening.setblocking(False)
-            self.listening.append(listening)
-            self.opening.append(asyncio.ensure_future(self.accept_on(listening)))
+        for listener in sockets:
+            listener.setblocking(False)
+            self.listeners.append(listener)
+            self.accept_tasks.append(asyncio.ensure_future(self.accept_on(listener)))
 
-    async def accept_on(self, listening: socket.socket) -> None:
+    async def accept_on(self, listener: socket.socket) -> None:
         """Have the loop accept connections."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            self.connection, sock=listening, backlog=BACKLOG
+            self.new_connection, sock=listener, backlog=BACKLOG
         )
         self.servers.append(server)
 
     def stop(self) -> None:
         """Accept no more connections; those that stand go on."""
-        for task in self.opening:
+        for task in self.accept_tasks:
             task.cancel()
         for server in self.servers:
             server.close()
-        for listening in self.listening:
+        for listener in self.listeners:
             # Also those that the loop does not know yet.
-            listening.close()
+            listener.close()
 
 
-def watch_for_silence(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Have the kernel find a connection that went silent for good."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
