--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -17,7 +17,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.pending import Pending
 from sequoiaspoke.sidecar.signs import SignWait
-from sequoiaspoke.sidecar.wirecalls import pack_call, unpack_news, unpack_outcome
+from sequoiaspoke.sidecar.wirecalls import pack_call, unpack_load_report, unpack_outcome
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
@@ -251,7 +251,7 @@
             self.resolve(*outcome)
         elif frame.pong is not None:
             self.update_clock_offset(frame.pong.sent, frame.pong.clock)
-            self.on_load_report(unpack_news(frame.pong.news))
+            self.on_load_report(unpack_load_report(frame.pong.news))
         elif frame.confirmed is not None:
             self.gossip.handle_confirmation(frame.confirmed, self.clock_offset)
         elif frame.welcome is not None:
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -9,7 +9,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import TcpFrameStream
 from sequoiaspoke.sidecar.sockets import ConnectionServer
-from sequoiaspoke.sidecar.wirecalls import pack_news, pack_outcome, unpack_call
+from sequoiaspoke.sidecar.wirecalls import pack_load_report, pack_outcome, unpack_call
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         elif frame.cancel is not None:
             self.server.home.cancel((self.peer, frame.cancel.number))
         elif frame.ping is not None:
-            load_report = pack_news(self.server.home.news())
+            load_report = pack_load_report(self.server.home.news())
             pong = wire.Pong(frame.ping.sent, clock.now(), load_report)
             self.stream.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -15,7 +15,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import SharedFrame
 from sequoiaspoke.sidecar.gossip import Gossip
-from sequoiaspoke.sidecar.wireknowledge import pack, unpack
+from sequoiaspoke.sidecar.wireknowledge import pack_knowledge, unpack_knowledge
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
         newer = state.version > ask.config_version
         if not newer and state.age(now) > ask.age - WORTHWHILE_SECONDS:
             return None
-        return pack(state.knowledge(0, ask.config_version))
+        return pack_knowledge(state.knowledge(0, ask.config_version))
 
     def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
         """Tell another node what is known and every change from now on."""
@@ -184,7 +184,7 @@
         if same and same_rates and serial and not state.directory.lapses.vanished:
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
-        knowledge = pack(state.knowledge(serial, version))
+        knowledge = pack_knowledge(state.knowledge(serial, version))
         if not same_rates:
             knowledge.link_rates = self.duty.reader_rates
         return wire.Frame(knowledge=knowledge)
@@ -208,7 +208,7 @@
         """
         now = clock.now()
         self.duty.learn_rates(knowledge.link_rates or {})
-        told = unpack(knowledge, clock_offset)
+        told = unpack_knowledge(knowledge, clock_offset)
         age = self.state.age(now)
         if self.state.stale(now) and told.as_of > self.state.as_of:
             self.log.event(
--- a/sequoiaspoke/sidecar/wirecalls.py
+++ b/sequoiaspoke/sidecar/wirecalls.py
@@ -31,7 +31,7 @@
         route=call.route,
         method=call.request.method,
         target=call.request.target,
-        headers=flatten(call.request.headers),
+        headers=flatten_headers(call.request.headers),
         body=call.request.body,
         on_time=call.on_time + clock_offset,
         deadline=call.deadline + clock_offset,
@@ -46,7 +46,7 @@
     request = Request(
         message.method,
         message.target,
-        unflatten(message.headers),
+        unflatten_headers(message.headers),
         message.body or b"",
     )
     return HomeCall(
@@ -60,16 +60,16 @@
     )
 
 
-def pack_outcome(number: int, outcome: Outcome, news: News) -> wire.Frame:
+def pack_outcome(number: int, outcome: Outcome, load_report: News) -> wire.Frame:
     """Return the frame for what came of a call, with the home's word on its load."""
     if isinstance(outcome, Answer):
         answer = wire.Answer(
             number,
             outcome.status,
-            flatten(outcome.headers),
+            flatten_headers(outcome.headers),
             outcome.body,
             outcome.seconds,
-            pack_news(news),
+            pack_load_report(load_report),
         )
         return wire.Frame(answer=answer)
     if isinstance(outcome, NotRun):
@@ -78,7 +78,7 @@
             outcome.reason,
             outcome.retry_after,
             outcome.reached,
-            pack_news(news),
+            pack_load_report(load_report),
         )
         return wire.Frame(not_run=refusal)
     unknown = wire.Unknown(number, outcome.reason)
@@ -93,39 +93,42 @@
     None if the frame tells of no outcome.
     """
     if frame.answer is not None:
-        told = frame.answer
+        message = frame.answer
         answer = Answer(
-            told.status, unflatten(told.headers), told.body or b"", told.seconds
+            message.status,
+            unflatten_headers(message.headers),
+            message.body or b"",
+            message.seconds,
         )
-        return told.number, answer, unpack_news(told.news)
+        return message.number, answer, unpack_load_report(message.news)
     if frame.not_run is not None:
-        refused = frame.not_run
-        outcome = NotRun(refused.reason, refused.retry_after, refused.reached)
-        return refused.number, outcome, unpack_news(refused.news)
+        refusal = frame.not_run
+        outcome = NotRun(refusal.reason, refusal.retry_after, refusal.reached)
+        return refusal.number, outcome, unpack_load_report(refusal.news)
     if frame.unknown is not None:
-        told = frame.unknown
+        message = frame.unknown
         crash = None
-        if told.crash is not None:
-            crash = unpack_crash(told.crash, clock.now())
-        return told.number, Unknown(told.reason, crash), None
+        if message.crash is not None:
+            crash = unpack_crash(message.crash, clock.now())
+        return message.number, Unknown(message.reason, crash), None
     return None
 
 
-def pack_news(news: News) -> wire.News:
+def pack_load_report(load_report: News) -> wire.News:
     """Return the message for a home's word on its load."""
-    return wire.News(news.strain, news.expected, news.wait)
+    return wire.News(load_report.strain, load_report.expected, load_report.wait)
 
 
-def unpack_news(message: wire.News) -> News:
+def unpack_load_report(message: wire.News) -> News:
     """Return a home's word on its load from its message."""
     return News(message.strain, message.expected, message.wait)
 
 
-def flatten(headers: Headers) -> list[str]:
+def flatten_headers(headers: Headers) -> list[str]:
     """Return names and values in turn."""
     return [text for pair in headers for text in pair]
 
 
-def unflatten(flat: list[str]) -> Headers:
+def unflatten_headers(flat: list[str]) -> Headers:
     """Return names with their values."""
     return tuple(zip(flat[::2], flat[1::2], strict=True))
--- a/sequoiaspoke/sidecar/wireknowledge.py
+++ b/sequoiaspoke/sidecar/wireknowledge.py
@@ -24,10 +24,10 @@
 
 # Largest configuration that is unpacked, in bytes; a whole one of 2,000 routes is
 # some 200 KB.
-CONFIG_BYTES = 16 << 20
+MAX_CONFIG_BYTES = 16 << 20
 
 
-def pack(knowledge: Knowledge) -> wire.Knowledge:
+def pack_knowledge(knowledge: Knowledge) -> wire.Knowledge:
     """Return the message for what a node knows."""
     config = None
     if knowledge.config is not None:
@@ -44,7 +44,7 @@
     )
 
 
-def unpack(message: wire.Knowledge, clock_offset: float) -> Knowledge:
+def unpack_knowledge(message: wire.Knowledge, clock_offset: float) -> Knowledge:
     """Return what a node knows from its message; raise MessageError.
 
     Parameters
@@ -160,8 +160,8 @@
     """Return a change of the configuration and its revision; raise MessageError."""
     message = wire.ConfigDelta()
     try:
-        plain = zlib.decompressobj().decompress(packed, CONFIG_BYTES)
-        message.read(TCompactProtocolAccelerated(TMemoryBuffer(plain)))
+        decompressed = zlib.decompressobj().decompress(packed, MAX_CONFIG_BYTES)
+        message.read(TCompactProtocolAccelerated(TMemoryBuffer(decompressed)))
     except Exception as error:
         # The decoder raises whatever the bytes provoke.
         raise MessageError(f"configuration: {error!r}") from error
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -21,7 +21,7 @@
 from sequoiaspoke.sidecar.home import Home
 from sequoiaspoke.sidecar.homecall import HomeCall
 from sequoiaspoke.sidecar.logs import EventLog
-from sequoiaspoke.sidecar.wireknowledge import pack, unpack
+from sequoiaspoke.sidecar.wireknowledge import pack_knowledge, unpack_knowledge
 
 # Starts of one upstream, in Unix milliseconds.
 FIRST, LATER = 1_790_000_000_000, 1_790_000_007_500
@@ -193,7 +193,7 @@
             lapsing=(Departure("i-4", LATER, 8),),
             config=None,
         )
-        self.assertEqual(unpack(pack(knowledge), 0.0), knowledge)
+        self.assertEqual(unpack_knowledge(pack_knowledge(knowledge), 0.0), knowledge)
 
 
 class PlacingOfStartsTests(TestCase):
