--- a/sequoiaspoke/sidecar/crashnews.py
+++ b/sequoiaspoke/sidecar/crashnews.py
@@ -68,7 +68,7 @@
 
     def tell_zone(self, frame: SharedFrame) -> None:
         """Tell the readers of the zone, and whom this node reads for."""
-        for link in self.spread.tellers.values():
+        for link in self.spread.reader_links.values():
             link.send(frame.frame)
         for subscriber in self.spread.subscribers:
             if not subscriber.stream.closed:
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -31,12 +31,12 @@
 
 # Seconds after which a reader tells of a new configuration also those whose first
 # reader is another: that one may be dead, or its link full.
-SECOND_AFTER = 0.5
+SECOND_READER_DELAY = 0.5
 # Routes of a change that is told by one reader first; fewer are some 3 KB, which all
 # nodes of a zone are told twice within a quarter of a second on a link of 2.5 Mbit/s.
-LARGE_CHANGE = 200
+LARGE_CHANGE_ROUTES = 200
 # Seconds by which an answer must be newer to be worth its bytes.
-WORTHWHILE_SECONDS = 0.5
+MIN_AGE_GAIN = 0.5
 
 
 @dataclass
@@ -47,7 +47,7 @@
     ----------
     first : bool
         Whether it is told of a new configuration at once.
-    serial, version, rates_told, evacuations_told : int
+    serial, version, rates_serial, evacuations_serial : int
         The counts of changes that it was told, and the configuration it has.
     confirmed : float
         The last confirmation by the store that it was told.
@@ -57,8 +57,8 @@
     version: int
     first: bool = True
     serial: int = 0
-    rates_told: int = 0
-    evacuations_told: int = 0
+    rates_serial: int = 0
+    evacuations_serial: int = 0
     confirmed: float = float("-inf")
 
 
@@ -67,9 +67,9 @@
 
     Attributes
     ----------
-    holding_back : bool
+    config_deferred : bool
         Whether a subscriber was not told of the newest configuration yet.
-    tellers : dict of str to LinkClient
+    reader_links : dict of str to LinkClient
         The links on which this node has subscribed.
     """
 
@@ -78,9 +78,9 @@
         self.duty = duty
         self.log = log
         self.subscribers: list[Subscriber] = []
-        self.holding_back = False
-        self.tellers: dict[str, LinkClient] = {}
-        self.told_holding = (0, "")
+        self.config_deferred = False
+        self.reader_links: dict[str, LinkClient] = {}
+        self.announced = (0, "")
         self.crash_news: CrashNews | None = None
 
     def uninformed(self) -> bool:
@@ -96,7 +96,7 @@
         if not state.complete:
             return None
         newer = state.version > ask.config_version
-        if not newer and state.age(now) > ask.age - WORTHWHILE_SECONDS:
+        if not newer and state.age(now) > ask.age - MIN_AGE_GAIN:
             return None
         return pack_knowledge(state.knowledge(0, ask.config_version))
 
@@ -128,13 +128,13 @@
 
     def tick(self, now: float) -> None:
         """Tell those whose first reader has not told them of a configuration."""
-        if self.holding_back and not self.holds_back(now):
+        if self.config_deferred and not self.defers_config(now):
             self.publish()
 
-    def holds_back(self, now: float) -> bool:
+    def defers_config(self, now: float) -> bool:
         """Return whether the newest configuration goes to a half of the zone only."""
-        large = self.state.history.changed_routes > LARGE_CHANGE
-        return large and now - self.state.installed < SECOND_AFTER
+        large = self.state.history.changed_routes > LARGE_CHANGE_ROUTES
+        return large and now - self.state.installed < SECOND_READER_DELAY
 
     def publish(self) -> None:
         """Tell the subscribers what they have not been told."""
@@ -146,31 +146,31 @@
         # Most have been told the same, and packing is the dear part.
         packed: dict[tuple[int, int, int, int], SharedFrame] = {}
         now = clock.now()
-        holds_back = self.holds_back(now)
-        self.holding_back = False
+        defers_config = self.defers_config(now)
+        self.config_deferred = False
         for each in self.subscribers:
             lacks_config = each.version < state.version
-            held_back = lacks_config and holds_back and not each.first
-            self.holding_back |= held_back
-            base = each.version if lacks_config and not held_back else state.version
-            news = each.serial != state.directory.serial or base != state.version
-            news |= each.rates_told != self.duty.rates_learnt
-            news |= each.evacuations_told != state.evacuations.serial
-            if not news and each.confirmed >= state.read_at:
+            deferred = lacks_config and defers_config and not each.first
+            self.config_deferred |= deferred
+            base = each.version if lacks_config and not deferred else state.version
+            changed = each.serial != state.directory.serial or base != state.version
+            changed |= each.rates_serial != self.duty.rates_learnt
+            changed |= each.evacuations_serial != state.evacuations.serial
+            if not changed and each.confirmed >= state.read_at:
                 continue
-            has = (each.serial, base, each.rates_told, each.evacuations_told)
-            if has not in packed:
-                packed[has] = SharedFrame(self.frame_since(*has))
+            key = (each.serial, base, each.rates_serial, each.evacuations_serial)
+            if key not in packed:
+                packed[key] = SharedFrame(self.frame_since(*key))
             each.serial = state.directory.serial
-            each.rates_told = self.duty.rates_learnt
-            each.evacuations_told = state.evacuations.serial
-            if not held_back:
+            each.rates_serial = self.duty.rates_learnt
+            each.evacuations_serial = state.evacuations.serial
+            if not deferred:
                 each.version = max(each.version, state.version)
             each.confirmed = state.read_at
-            each.stream.send_shared(packed[has])
+            each.stream.send_shared(packed[key])
 
     def frame_since(
-        self, serial: int, version: int, rates_told: int, evacuations_told: int
+        self, serial: int, version: int, rates_serial: int, evacuations_serial: int
     ) -> wire.Frame:
         """Return the frame that tells what is new since some counts and a version.
 
@@ -178,14 +178,19 @@
         hears twice a second.
         """
         state = self.state
-        same = (serial, version) == (state.directory.serial, state.version)
-        same &= evacuations_told == state.evacuations.serial
-        same_rates = rates_told == self.duty.rates_learnt
-        if same and same_rates and serial and not state.directory.lapses.vanished:
+        unchanged = (serial, version) == (state.directory.serial, state.version)
+        unchanged &= evacuations_serial == state.evacuations.serial
+        rates_unchanged = rates_serial == self.duty.rates_learnt
+        if (
+            unchanged
+            and rates_unchanged
+            and serial
+            and not state.directory.lapses.vanished
+        ):
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
         knowledge = pack_knowledge(state.knowledge(serial, version))
-        if not same_rates:
+        if not rates_unchanged:
             knowledge.link_rates = self.duty.reader_rates
         return wire.Frame(knowledge=knowledge)
 
@@ -208,21 +213,21 @@
         """
         now = clock.now()
         self.duty.learn_rates(knowledge.link_rates or {})
-        told = unpack_knowledge(knowledge, clock_offset)
+        received = unpack_knowledge(knowledge, clock_offset)
         age = self.state.age(now)
-        if self.state.stale(now) and told.as_of > self.state.as_of:
+        if self.state.stale(now) and received.as_of > self.state.as_of:
             self.log.event(
                 "learnt-from-node",
-                age=f"{now - told.as_of:.2f}",
+                age=f"{now - received.as_of:.2f}",
                 before=f"{age:.2f}",
-                revision=told.revision,
+                revision=received.revision,
             )
         try:
-            self.state.learn(told)
+            self.state.learn(received)
         except KeyError:
             # Its change goes out from a version that this node never had.
             return False
-        self.duty.heard(told.as_of)
+        self.duty.heard(received.as_of)
         return True
 
     def handle_confirmation(
@@ -245,13 +250,13 @@
 
     def link_down(self, link: LinkClient) -> None:
         """Reckon without a reader whose link has ended."""
-        self.tellers.pop(link.address[0], None)
+        self.reader_links.pop(link.address[0], None)
         self.duty.link_down(link.address[0])
 
     def subscribe_to(self, link: LinkClient) -> None:
         """Ask a reader for every change from now on."""
         host = link.address[0]
-        self.tellers[host] = link
+        self.reader_links[host] = link
         first = host == self.duty.first_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
         if self.crash_news is not None:
@@ -262,19 +267,19 @@
 
         The one that is not to tell it first need not tell it at all then.
         """
-        holding = (self.state.version, self.duty.first_reader)
-        if holding == self.told_holding:
+        current = (self.state.version, self.duty.first_reader)
+        if current == self.announced:
             return
-        self.told_holding = holding
-        for host, link in self.tellers.items():
+        self.announced = current
+        for host, link in self.reader_links.items():
             link.announce_version(self.state.version, host == self.duty.first_reader)
 
     def follow_readers(self, peers: Peers) -> None:
         """Keep links to the zone's readers and subscribe to those that are new."""
         own = peers.identity.host
         readers = {host for host in self.duty.readers if host != own}
-        for host in self.tellers.keys() - readers:
-            del self.tellers[host]
+        for host in self.reader_links.keys() - readers:
+            del self.reader_links[host]
         for host in sorted(readers - peers.reader_hosts):
             link = peers.link(host)
             if link.established:
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -21,7 +21,7 @@
     StoreError,
     StoreItem,
 )
-from sequoiaspoke.sidecar.spread import SECOND_AFTER, Spread
+from sequoiaspoke.sidecar.spread import SECOND_READER_DELAY, Spread
 from sequoiaspoke.sidecar.state import MeshState
 from sequoiaspoke.sidecar.wireknowledge import unpack_config
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
@@ -164,25 +164,25 @@
     def test_a_configuration_is_told_by_one_reader_first(self):
         # 1,680 routes are added and both readers tell each of 27 nodes of all of them:
         # links of 2.5 Mbit/s take 2.2 s, and upstreams that leave are heard of as late.
-        self.patch(spread, "LARGE_CHANGE", 0)
+        self.patch(spread, "LARGE_CHANGE_ROUTES", 0)
         self.time += 1.0
         stream = self.other.follow(self.reader, first=False)
         self.reader.read(12, config=5, i_3=9)
         self.assertEqual(self.other.knows(), (3, {"i-1": 4, "i-2": 4, "i-3": 9}))
         self.reader.spread.update_held_version(stream, wire.Holds(5, False))
-        self.time += 2 * SECOND_AFTER
+        self.time += 2 * SECOND_READER_DELAY
         self.reader.spread.tick(self.time)
         told = [frame.knowledge for frame in stream.frames if frame.knowledge]
         self.assertEqual([each.config is None for each in told], [False, True])
 
     def test_the_second_reader_tells_who_did_not_hear_from_the_first(self):
         # The first reader is killed right after it has read a version.
-        self.patch(spread, "LARGE_CHANGE", 0)
+        self.patch(spread, "LARGE_CHANGE_ROUTES", 0)
         self.time += 1.0
         self.other.follow(self.reader, first=False)
         self.reader.read(12, config=5)
         self.assertEqual(self.other.state.version, 3)
-        self.time += SECOND_AFTER
+        self.time += SECOND_READER_DELAY
         self.reader.spread.tick(self.time)
         self.assertEqual(self.other.state.version, 5)
 
