--- a/sequoiaspoke/sidecar/changelog.py
+++ b/sequoiaspoke/sidecar/changelog.py
@@ -12,7 +12,7 @@
 
 # Endpoints of one change that have a line each; of more, as a node learns of at its
 # start, one line tells how many and a digest that is the same at every node.
-MOST_LINES = 8
+MAX_LINES = 8
 
 
 def log_endpoints(
@@ -20,7 +20,7 @@
 ) -> None:
     """Log the endpoints that were taken and left since a count of changes."""
     held, gone = directory.changed_since(serial)
-    if len(held) + len(gone) > MOST_LINES:
+    if len(held) + len(gone) > MAX_LINES:
         names = (f"{e.endpoint.instance}/{e.endpoint.born}" for e in held)
         log.event(
             "endpoints",
--- a/sequoiaspoke/sidecar/items.py
+++ b/sequoiaspoke/sidecar/items.py
@@ -16,12 +16,12 @@
 
 # Keys for which it is remembered that their item was refused; a store that is read anew
 # tells it again. Beyond, all are forgotten, which costs a line each.
-REFUSED_KEYS = 1000
+MAX_REFUSED_KEYS = 1000
 # Characters of a key or reason in the log; another writer may have chosen them.
-REASON_LENGTH = 200
+MAX_LOGGED_LENGTH = 200
 
 
-class ItemReader:
+class ItemParser:
     """Reads items; one that cannot be used is None and leaves what stood before.
 
     Attributes
@@ -72,14 +72,14 @@
         """Count and log an item that cannot be used, each time it was written once."""
         if self.refused_at.get(item.key, 0) >= item.revision:
             return
-        if len(self.refused_at) >= REFUSED_KEYS:
+        if len(self.refused_at) >= MAX_REFUSED_KEYS:
             self.refused_at.clear()
         self.refused_at[item.key] = item.revision
         self.counts[error.code] += 1
         self.log.event(
             "item-refused",
             code=error.code,
-            key=item.key[:REASON_LENGTH],
+            key=item.key[:MAX_LOGGED_LENGTH],
             revision=item.revision,
-            reason=str(error)[:REASON_LENGTH],
+            reason=str(error)[:MAX_LOGGED_LENGTH],
         )
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -14,7 +14,7 @@
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.changelog import log_endpoints, log_evacuations
-from sequoiaspoke.sidecar.items import ItemReader
+from sequoiaspoke.sidecar.items import ItemParser
 from sequoiaspoke.sidecar.source import ItemDecoder, StoreItem
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
         self.lost_at = float("-inf")
         self.installed = 0.0
         self.counts: Counter[str] = Counter()
-        self.items = ItemReader(decoder, log, self.counts)
+        self.items = ItemParser(decoder, log, self.counts)
 
     def age(self, now: float) -> float:
         """Return the seconds since all this was confirmed."""
