--- a/sequoiaspoke/sidecar/frames.py
+++ b/sequoiaspoke/sidecar/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the mesh link over a stream."""
+"""Length-prefixed Thrift frames on the links between nodes."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 HEADER = struct.Struct("!I")
-# Above the largest body that an upstream's answer or a request may have.
+# Bytes; more than the largest body that a request or an upstream's answer may have.
 FRAME_LIMIT = 70 << 20
-# Bytes that wait for a peer that does not read; beyond, the link is closed.
+# Bytes buffered for a peer that does not read; beyond that the link is closed.
 UNSENT_LIMIT = 16 << 20
 
 
-# Writes every frame, each into a buffer of its own; a new one costs as much as the
-# encoding itself.
+# Shared by all frames, each with its own buffer: creating a protocol object costs as
+# much as the encoding itself.
 WRITER = TCompactProtocolAccelerated(TMemoryBuffer())
 
 
 def encode(frame: wire.Frame) -> bytes:
-    """Return a frame with its length."""
+    """Return an encoded frame with its length prefix."""
     WRITER.trans = TMemoryBuffer()
     frame.write(WRITER)
     payload = WRITER.trans.getvalue()
@@ -40,35 +40,35 @@
 
 
 def decode(payload: bytes) -> wire.Frame:
-    """Return the frame of a payload."""
+    """Decode the payload of a frame; raise MessageError."""
     frame = wire.Frame()
     try:
         frame.read(TCompactProtocolAccelerated(TMemoryBuffer(payload)))
     except Exception as error:
-        # The decoder raises whatever the bytes provoke.
-        raise MessageError(f"frame: {error!r}") from error
+        # The decoder raises any kind of exception on malformed bytes.
+        raise MessageError(f"cannot decode frame: {error!r}") from error
     return frame
 
 
 class SharedFrame:
-    """A frame that goes to many nodes and is encoded once for all of them."""
+    """A frame that is sent to several nodes and encoded only once."""
 
     def __init__(self, frame: wire.Frame) -> None:
         self.frame = frame
 
     @cached_property
     def data(self) -> bytes:
-        """Return the frame with its length."""
+        """Return the encoded frame with its length prefix."""
         return encode(self.frame)
 
 
 class FrameStream(ABC):
-    """Frames to and from another node.
+    """A stream of frames to and from another node.
 
     Attributes
     ----------
     closed : bool
-        Once set, no further frame is handed on, also not one read before.
+        Whether the stream is closed; frames read but not passed on yet are dropped.
     """
 
     closed = False
@@ -78,16 +78,16 @@
         """Send a frame."""
 
     def send_shared(self, shared: SharedFrame) -> None:
-        """Send a frame that goes to others, too."""
+        """Send a frame that is sent to other nodes as well."""
         self.send(shared.frame)
 
     @abstractmethod
     async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
-        """Hand on frames until the link ends; return why it did."""
+        """Pass on frames until the link ends; return why it ended."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
 
 
 class Dialer(ABC):
@@ -109,7 +109,7 @@
 
 
 class TcpFrameStream(Connection, FrameStream):
-    """Frames over a connection."""
+    """A frame stream over a TCP connection."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,22 +121,22 @@
         self.ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     def send(self, frame: wire.Frame) -> None:
-        """Send a frame; a peer that does not read loses the link."""
+        """Send a frame; close the link if the peer does not read."""
         self.send_data(encode(frame))
 
     def send_shared(self, shared: SharedFrame) -> None:
-        """Send a frame that goes to others, too."""
+        """Send a frame that is sent to other nodes as well."""
         self.send_data(shared.data)
 
     def send_data(self, data: bytes) -> None:
-        """Send bytes, unless too many wait already."""
+        """Send bytes; close the link if too many are buffered already."""
         if self.unsent_bytes() > UNSENT_LIMIT:
             self.close()
         else:
             self.write(data)
 
     async def read(self, on_frame: Callable[[wire.Frame], None]) -> str:
-        """Hand on frames until the link ends; return why it did."""
+        """Pass on frames until the link ends; return why it ended."""
         self.on_frame = on_frame
         self.parse()
         try:
@@ -145,14 +145,14 @@
             self.close()
 
     def received(self, data: bytes) -> None:
-        """Take bytes of the peer."""
+        """Buffer bytes from the peer, and pass on the frames they complete."""
         self.chunks.append(data)
         self.buffered += len(data)
         if self.buffered >= self.bytes_needed and self.on_frame is not None:
             self.parse()
 
     def parse(self) -> None:
-        """Hand on the whole frames that have come; end the link at one that is none."""
+        """Pass on the complete frames; close the link at an invalid one."""
         buffer = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
         start = 0
         try:
@@ -162,7 +162,7 @@
                     break
                 (length,) = HEADER.unpack_from(buffer, start)
                 if length > FRAME_LIMIT:
-                    raise MessageError(f"frame of {length} bytes")
+                    raise MessageError(f"frame too large: {length} bytes")
                 self.bytes_needed += length
                 end = start + self.bytes_needed
                 if len(buffer) < end:
@@ -177,7 +177,7 @@
         self.buffered = len(buffer) - start
 
     def lost(self, error: Exception | None, closed_locally: bool) -> None:  # noqa: ARG002
-        """Tell whoever reads why the link has ended."""
+        """Let `read` return why the link has ended."""
         if not self.ended.done():
             ended = "closed-here" if closed_locally else "closed"
             self.ended.set_result(self.reason or ended)
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -1,9 +1,9 @@
 """The entry's side of a link to one home.
 
-A link may break or go silent while calls are under way on it. It is found dead
-within a second, and another one is opened to the same home. If the home is still
-the same incarnation, it is asked again for the same calls, which it runs at most
-once; if it is a new one, nobody knows what became of the calls that were sent.
+A link can break or go silent while calls are pending on it. It is found dead within
+a second, and a new connection to the same home is opened. If the home is still the
+same incarnation, the pending calls are sent again under their numbers, and the home
+runs each at most once; otherwise the outcome of the calls already sent is unknown.
 """
 
 from __future__ import annotations
@@ -30,40 +30,40 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.pending import LinkIdentity
 
-# Seconds for a connection and for the greeting on it. Zones lie milliseconds apart;
-# a home that is busy answers in tenths.
+# Seconds for connecting and for the handshake. A round trip between zones takes
+# milliseconds; a busy home answers within tenths of a second.
 DIAL_TIMEOUT, HANDSHAKE_TIMEOUT = 0.4, 0.8
-# Seconds without a word, while calls are under way, after which a home is asked for a
-# sign and then given up on.
+# Seconds without a frame, while calls are pending, after which the home is pinged and
+# after which the link is closed as dead.
 PING_AFTER, SILENT_AFTER = 0.3, 0.9
-# A link that was heard on within so many seconds is taken to stand. On an older one
-# the home is asked for a sign before a call is sent that may run once only.
+# A link that received a frame within this many seconds is taken to be alive. On any
+# other the home is pinged before a call is sent that may run only once.
 RECENT_SECONDS = 0.1
-# Age in seconds of the knowledge of a node that has none.
+# Age in seconds that stands for a node without any knowledge.
 UNKNOWN_AGE = 1e6
-# Frames that wait for a link to stand, at most; the newest stay.
+# Frames queued until the link is established; the oldest are dropped first.
 OUTBOX_FRAMES = 20
-# Seconds between attempts to reach a home, doubling up to the second figure.
+# Seconds between attempts to connect, doubling up to the second value.
 REDIAL_MIN, REDIAL_MAX = 0.1, 0.4
 
 
 def ignore_load_report(load_report: News) -> None:
-    """Do nothing; for links whose news nobody uses."""
+    """Do nothing; the default of links whose load reports are not used."""
 
 
 class LinkClient:
-    """The link to one home.
+    """A link to one home, which reconnects as needed.
 
     Attributes
     ----------
     active_links : set of LinkClient
-        To which it adds itself while something is awaited on it, to be looked after.
+        Links that wait for their home and need `tick`; this one adds itself.
     persistent : bool
-        Whether the link is held open without calls.
+        Whether the link stays open without pending calls.
     failing : bool
-        Whether the home could not be reached last time.
+        Whether the home could not be reached, or went silent, last time.
     leaving : bool
-        Whether the home has said that it takes no new calls.
+        Whether the home has announced that it takes no new calls.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
     # Calls.
 
     def submit(self, call: HomeCall, on_outcome: Callable[[Outcome], None]) -> Pending:
-        """Have the home run a call and tell what came of it, once."""
+        """Have the home run a call, and pass on its outcome once."""
         pending = Pending(self.identity.number(), call, on_outcome)
         if self.established and not call.idempotent and self.stale():
             if self.probe.hold(pending):
@@ -114,11 +114,11 @@
         return pending
 
     def dispatch(self, pending: Pending) -> None:
-        """Send a call, or have it sent once the link stands.
+        """Send a call, now or once the link is established.
 
-        Only once there was a sign where one is needed, as a link that is opened anew
-        sends all that is pending: a call that still waited for a sign would be told as
-        not run after it was sent.
+        A call that is held for an answer to a ping is not pending yet: a new
+        connection sends all pending calls, and a held one could then be reported as
+        not run although it was sent.
         """
         if not self.pending:
             self.pending_since = clock.now()
@@ -130,7 +130,7 @@
             self.open()
 
     def cancel(self, pending: Pending) -> None:
-        """Tell the home that nobody waits for a call any more."""
+        """Drop a call, and tell the home that its outcome is no longer wanted."""
         pending.over = True
         if self.pending.pop(pending.number, None) is None:
             return
@@ -138,16 +138,17 @@
             self.stream.send(wire.Frame(cancel=wire.Cancel(pending.number)))
 
     def stale(self) -> bool:
-        """Return whether the home was not heard lately.
+        """Return whether the home has sent nothing recently.
 
-        A call that may run once only is then sent after a sign. One that may run again
-        is sent at once, and elsewhere if it takes too long: in a large fleet most links
-        are silent for seconds, and a sign is another round trip and two frames.
+        A call that may run only once is then held until the home answers a ping. One
+        that may run again is sent at once, and elsewhere if it takes too long: in a
+        large fleet most links are silent for seconds, and a ping costs another round
+        trip and two frames.
         """
         return clock.now() - self.last_heard >= RECENT_SECONDS
 
     def probe_failed(self, unsent: list[Pending]) -> None:
-        """Give the link up, and the calls that were not sent on it."""
+        """Close the link, and report the calls held on it as not run."""
         self.failing = True
         if self.stream is not None:
             self.stream.close()
@@ -155,10 +156,10 @@
             pending.resolve(NotRun("link-silent"))
 
     def send_call(self, pending: Pending) -> None:
-        """Send a call on the link that stands."""
+        """Send a call on the established link."""
         if pending.over:
-            # Given up on just now, for one as it was sent to an earlier incarnation of
-            # the home: sent again it would run twice.
+            # It has just failed, for example because it was sent to an earlier
+            # incarnation of the home: sent again it would run twice.
             return
         pending.sent_to = self.incarnation
         assert self.stream is not None
@@ -167,13 +168,13 @@
     # The link.
 
     def open(self) -> None:
-        """See that somebody dials."""
+        """Connect, or wake the task that waits before it connects again."""
         if self.run_task is None and not self.closed:
             self.run_task = asyncio.ensure_future(self.run())
         self.wake.set()
 
     def close(self) -> None:
-        """Give the link up for good; what is under way fails."""
+        """Close the link for good and fail its calls."""
         self.closed = True
         if self.stream is not None:
             self.stream.close()
@@ -182,10 +183,10 @@
         self.fail_all("home-left")
 
     async def run(self) -> None:
-        """Dial and read for as long as the link is needed.
+        """Connect and read for as long as the link is needed.
 
-        A home that failed or left is dialled until it answers: its entry sends it no
-        calls until then, so that nothing else would tell that it is back.
+        A home that failed or left is dialled until it answers: this entry sends it no
+        calls until then, so nothing else would show that it is back.
         """
         pause = REDIAL_MIN
         while self.needed and not self.closed:
@@ -203,11 +204,11 @@
 
     @property
     def needed(self) -> bool:
-        """Return whether the link has to stand."""
+        """Return whether the link has to be connected."""
         return bool(self.pending or self.outbox or self.persistent or self.failing)
 
     async def run_connection(self) -> str | None:
-        """Dial once and read until the link ends; return why dialling failed."""
+        """Connect once and read until the link ends; return why connecting failed."""
         try:
             self.stream = await asyncio.wait_for(
                 self.dialer.dial(*self.address), DIAL_TIMEOUT
@@ -227,7 +228,7 @@
             self.gossip.uninformed(),
         )
         self.stream.send(wire.Frame(hello=hello))
-        # The greeting asks for a sign, too.
+        # The hello is answered like a ping.
         self.last_heard = self.last_pinged = dialled
         reason = await self.stream.read(self.handle_frame)
         was_established, self.established = self.established, False
@@ -243,7 +244,7 @@
         return "no-greeting"
 
     def handle_frame(self, frame: wire.Frame) -> None:
-        """Take a frame."""
+        """Handle one frame from the home."""
         self.last_heard = clock.now()
         self.dispatch_held()
         outcome = unpack_outcome(frame)
@@ -267,39 +268,39 @@
                 self.request_knowledge()
 
     def dispatch_held(self) -> None:
-        """Send the calls that waited for a sign.
+        """Dispatch the calls that were held until the home answers.
 
-        If the link has ended meanwhile they wait for the next.
+        If the link has ended meanwhile, they wait for the next connection.
         """
         for pending in self.probe.release():
             self.dispatch(pending)
 
     def send_knowledge(self, ask: wire.Ask) -> None:
-        """Tell the home what this node knows better."""
+        """Send the home what this node knows, if that is newer."""
         knowledge = self.gossip.answer(ask)
         if knowledge is not None:
             self.send(wire.Frame(knowledge=knowledge))
 
     def request_knowledge(self) -> None:
-        """Ask the home what it knows better."""
+        """Ask the home for newer knowledge."""
         self.send(wire.Frame(ask=self.gossip.knowledge_request()))
 
     def subscribe(self, config_version: int, first: bool, link_mbps: float) -> None:
-        """Ask the home for every change from now on."""
+        """Subscribe to all changes of what the home knows."""
         subscribe = wire.Subscribe(config_version, first, self.identity.host, link_mbps)
         self.send(wire.Frame(subscribe=subscribe))
 
     def announce_version(self, config_version: int, first: bool) -> None:
-        """Tell the home which configuration this node has by now."""
+        """Tell the home which version of the configuration this node has."""
         self.send(wire.Frame(holds=wire.Holds(config_version, first)))
 
     def send(self, frame: wire.Frame) -> None:
-        """Send a frame if the link stands."""
+        """Send a frame if the link is established."""
         if self.stream is not None and self.established:
             self.stream.send(frame)
 
     def send_or_queue(self, frame: wire.Frame) -> None:
-        """Send a frame now, or as the next thing once the link stands."""
+        """Send a frame now, or once the link is established."""
         if self.established:
             self.send(frame)
             return
@@ -307,7 +308,7 @@
         self.open()
 
     def resolve(self, number: int, outcome: Outcome, load_report: News | None) -> None:
-        """Hand an outcome to the call that waits for it."""
+        """Pass an outcome to the call that waits for it."""
         if load_report is not None:
             self.load_report = load_report
         pending = self.pending.pop(number, None)
@@ -315,7 +316,7 @@
             pending.resolve(outcome)
 
     def handle_welcome(self, welcome: wire.Welcome) -> None:
-        """Take the home's greeting and send what waits."""
+        """Complete the handshake, and send the pending calls and queued frames."""
         assert self.stream is not None
         self.round_trip = float("inf")
         self.update_clock_offset(self.last_pinged, welcome.clock)
@@ -335,7 +336,7 @@
         self.gossip.link_up(self)
 
     def update_clock_offset(self, sent: float, peer_clock: float) -> None:
-        """Take the home's clock from its sign, if it came faster than others."""
+        """Estimate the clock offset if the round trip was short or the shortest yet."""
         now = clock.now()
         round_trip = now - sent
         if round_trip < self.round_trip or round_trip < 0.05:
@@ -345,11 +346,12 @@
     # Failures.
 
     def mark_unreachable(self, reason: str) -> None:
-        """Note that the home cannot be reached now.
+        """Record that the home cannot be reached, and fail calls accordingly.
 
-        Calls that were never sent certainly have not run. Of those that were, the
-        ones that may run again go elsewhere; the others wait for the link, unless
-        nothing listens there any more, so that nobody is left to ask.
+        Calls that were never sent have certainly not run. Of those that were, the ones
+        that may run again are failed, so that they can go elsewhere; the others wait
+        for the link, unless the connection was refused: then the process that knew
+        their outcome is gone.
         """
         self.gossip.link_down(self)
         if not self.failing:
@@ -363,29 +365,29 @@
                 self.fail(pending, Unknown("home-unreachable"))
 
     def fail(self, pending: Pending, outcome: Outcome) -> None:
-        """Give a call up."""
+        """Remove a pending call and report its outcome."""
         self.pending.pop(pending.number, None)
         pending.resolve(outcome)
 
     def fail_sent(self, reason: str) -> None:
-        """Fail the calls that an earlier incarnation of the home was sent."""
+        """Fail the calls that were sent, as the home no longer knows their outcome."""
         for pending in list(self.pending.values()):
             if pending.sent_to is not None:
                 self.fail(pending, Unknown(reason))
 
     def fail_all(self, reason: str) -> None:
-        """Fail every call."""
+        """Fail every call, sent or not."""
         self.fail_sent(reason)
         for pending in [*self.pending.values(), *self.probe.release()]:
             self.fail(pending, NotRun(reason))
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is awaited of the home."""
+        """Return whether the link waits for nothing from the home."""
         return not self.pending and (self.established or self.stream is None)
 
     def tick(self, now: float) -> None:
-        """Ask a silent home for a sign, and give it up if none comes."""
+        """Ping a silent home, and close the link if it does not answer."""
         if self.stream is None:
             return
         if not self.established:
@@ -402,7 +404,7 @@
             self.ping(now)
 
     def ping(self, now: float) -> None:
-        """Ask the home for a sign."""
+        """Ask the home for a pong."""
         self.last_pinged = now
         if self.stream is not None:
             self.stream.send(wire.Frame(ping=wire.Ping(now)))
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -22,7 +22,7 @@
 
 
 class AcceptedLink:
-    """A link that another node opened."""
+    """A link opened by another node."""
 
     def __init__(self, stream: FrameStream, server: LinkServer) -> None:
         self.stream = stream
@@ -33,9 +33,9 @@
         self.clock_offset = 0.0
 
     def handle_frame(self, frame: wire.Frame) -> None:
-        """Take a frame."""
+        """Handle one frame from the other node."""
         if frame.hello is None and self.peer is None:
-            raise MessageError("a frame before the greeting")
+            raise MessageError("frame received before the hello")
         if frame.call is not None:
             self.handle_call(frame.call)
         elif frame.cancel is not None:
@@ -61,7 +61,7 @@
                 self.stream.send(wire.Frame(ask=self.server.gossip.knowledge_request()))
 
     def handle_hello(self, hello: wire.Hello) -> None:
-        """Take the name of the other node; its older links end unread."""
+        """Record the other node's identity, and close its older links unread."""
         self.peer = (hello.host, hello.incarnation)
         self.zone = hello.zone
         self.clock_offset = hello.clock - clock.now()
@@ -78,7 +78,7 @@
         self.stream.send(wire.Frame(welcome=welcome))
 
     def handle_call(self, call: wire.Call) -> None:
-        """Take a call."""
+        """Submit a call to the home."""
         number, home_call = call.number, unpack_call(call)
         self.server.home.submit(
             (self.peer, number),
@@ -87,13 +87,13 @@
         )
 
     def send_outcome(self, number: int, call: HomeCall, outcome: Outcome) -> None:
-        """Send what came of a call."""
+        """Send the outcome of a call, with a load report."""
         load_report = self.server.home.news(call.route, call.rank)
         self.stream.send(pack_outcome(number, outcome, load_report))
 
 
 class LinkServer(ConnectionServer):
-    """Accepts links of other nodes."""
+    """Accepts links from other nodes."""
 
     def __init__(
         self, home: Home, gossip: Gossip, incarnation: int, log: EventLog
@@ -107,7 +107,7 @@
         self.link_tasks: set[asyncio.Task[None]] = set()
 
     def new_connection(self) -> TcpFrameStream:
-        """Return the frames of the next link, which is served."""
+        """Return the stream of the next link, and start to serve it."""
         stream = TcpFrameStream()
         task = asyncio.ensure_future(self.serve(stream))
         self.link_tasks.add(task)
@@ -115,7 +115,7 @@
         return stream
 
     async def serve(self, stream: FrameStream) -> None:
-        """Serve a link."""
+        """Handle the frames of a link until it ends."""
         link = AcceptedLink(stream, self)
         self.links.append(link)
         reason = await link.stream.read(link.handle_frame)
@@ -124,6 +124,6 @@
             self.log.event("link-broken", peer=link.peer, reason=reason)
 
     def announce_leaving(self) -> None:
-        """Tell every entry that this home takes no new calls."""
+        """Tell every connected entry that this home takes no new calls."""
         for link in self.links:
             link.stream.send(wire.Frame(leaving=wire.Leaving()))
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -1,4 +1,4 @@
-"""The links of this node to the homes of all endpoints."""
+"""The links from this node to the homes of all endpoints."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
     from sequoiaspoke.sidecar.pending import LinkIdentity
     from sequoiaspoke.sidecar.state import MeshState
 
-# Links held open without calls, to nodes of the own zone: by them a node that starts
-# while the store turns it away is found and told what it needs. Four reach it
-# unless all four nodes die with it.
+# Links to nodes of the same zone that stay open without calls. Through them a node
+# that starts while the store refuses it is found and sent what it needs. With four, it
+# is reached unless all four nodes fail together with it.
 PERSISTENT_LINKS = 4
-# Nodes asked at once for news, and seconds between two rounds.
+# Nodes that are asked for newer knowledge at a time, and seconds between two rounds.
 REQUEST_PEERS, REQUEST_INTERVAL = 2, 0.5
 
 
 def ignore_host_load_report(host: str, load_report: News) -> None:
-    """Do nothing; until an entry wants the news."""
+    """Do nothing; the default until an entry takes the load reports."""
 
 
 class Peers:
-    """Links by the address of the other node.
+    """The links to other nodes, by their address.
 
     Attributes
     ----------
     active_links : set of LinkClient
-        Links on which something is awaited.
+        Links that wait for their home and need `tick`.
     reader_hosts : set of str
-        Nodes that read the store for this one; their links are held open.
+        Nodes that read the store for this one; links to them stay open.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.reader_hosts: set[str] = set()
 
     def link(self, host: str) -> LinkClient:
-        """Return the link to a node."""
+        """Return the link to a node, creating it on first use."""
         link = self.links.get(host)
         if link is None:
             link = LinkClient(
@@ -84,12 +84,12 @@
         return link
 
     def reachable(self, endpoint: Endpoint) -> bool:
-        """Return whether calls to an endpoint are worth a try."""
+        """Return whether a call to an endpoint is worth an attempt."""
         link = self.links.get(endpoint.host)
         return link is None or not (link.failing or link.leaving)
 
     def refresh(self) -> None:
-        """Open and close links as endpoints come and go."""
+        """Open and close links as endpoints appear and disappear."""
         endpoints = self.state.members()
         hosts = {endpoint.host for endpoint in endpoints}
         for host in sorted(self.links.keys() - hosts):
@@ -113,7 +113,7 @@
                 link.open()
 
     def tick(self, now: float) -> None:
-        """Look after the links and ask for news if what is known is old."""
+        """Check the active links, and request knowledge if this node's is stale."""
         for link in list(self.active_links):
             link.tick(now)
             if link.idle:
@@ -123,16 +123,16 @@
             self.request_knowledge()
 
     def request_knowledge(self) -> None:
-        """Ask some nodes for what they know."""
+        """Ask some connected nodes for newer knowledge."""
         open_links = [link for link in self.links.values() if link.established]
         self.rng.shuffle(open_links)
         for link in open_links[:REQUEST_PEERS]:
             link.request_knowledge()
 
     def node_count(self) -> int:
-        """Return how many nodes the endpoints stand for."""
+        """Return the number of nodes with an endpoint, at least 1."""
         return max(1, self.state.directory.hosts())
 
     def age(self) -> float:
-        """Return the age of what is known here, in seconds."""
+        """Return the age of this node's knowledge in seconds."""
         return self.state.age(clock.now())
--- a/sequoiaspoke/sidecar/sockets.py
+++ b/sequoiaspoke/sidecar/sockets.py
@@ -1,8 +1,9 @@
-"""Connections of a sidecar, driven by the event loop's callbacks.
+"""TCP connections of a sidecar, driven by callbacks of the event loop.
 
-What has come is handed on in the turn in which the loop read it, and what is written in
-one turn leaves together. Streams that are read by a task need a future and a turn more
-for each piece: of a node's turns of the loop four in five found nothing to read.
+Received bytes are handled in the iteration of the loop that read them, and bytes
+written in one iteration are sent together. Streams that are read by a task need a
+future and another iteration for each chunk: four of five iterations of a node then
+found nothing to read.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Seconds after which a silent peer is probed, between probes, and until sent bytes
-# must be acknowledged; a dead connection is found in about two seconds.
+# Seconds until a silent peer is probed and between probes, number of probes, and
+# milliseconds within which sent bytes must be acknowledged. A dead connection is found
+# within about two seconds.
 KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES = 1, 1, 1
 USER_TIMEOUT_MS = 2000
-# Connections that may wait to be accepted: callers that come back after a restart of
-# this node open theirs in one moment, and one that finds no place is opened again
-# after a second only.
+# Connections that may wait to be accepted. Callers reconnect all at once after this
+# node restarts, and one that does not fit is retried only after a second.
 BACKLOG = 1024
 
 
@@ -33,7 +34,7 @@
     Attributes
     ----------
     closed : bool
-        Whether this end has been closed or the connection has ended.
+        Whether this end was closed or the connection has ended.
     """
 
     def __init__(self) -> None:
@@ -41,63 +42,63 @@
         self.closed = False
 
     def connection_made(self, transport: Any) -> None:
-        """Take the connection that stands."""
+        """Start to use an established connection."""
         self.transport = transport
         enable_keepalive(transport.get_extra_info("socket"))
         self.opened()
 
     def opened(self) -> None:
-        """Begin to use the connection."""
+        """Handle the start of the connection; does nothing by default."""
 
     def data_received(self, data: bytes) -> None:
-        """Take what came, unless this end was closed."""
+        """Handle received bytes, unless this end was closed."""
         if not self.closed:
             self.received(data)
 
     def eof_received(self) -> bool:
-        """Let the transport close: whoever stops sending has left."""
+        """Let the transport close: a peer that stops sending has left."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Handle the end of the connection."""
         closed_locally, self.closed = self.closed, True
         self.lost(error, closed_locally)
 
     @abstractmethod
     def received(self, data: bytes) -> None:
-        """Take bytes of the peer."""
+        """Handle bytes from the peer."""
 
     @abstractmethod
     def lost(self, error: Exception | None, closed_locally: bool) -> None:
-        """Take the end of the connection.
+        """Handle the end of the connection.
 
         Parameters
         ----------
         error : Exception or None
-            What broke the connection; None if the peer closed it.
+            The cause of a failure; None if the peer closed the connection.
         closed_locally : bool
             Whether this end was closed first.
         """
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the connection has ended."""
+        """Send bytes, unless the connection is closed."""
         if not self.closed:
             assert self.transport is not None
             self.transport.write(data)
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes wait for a peer that does not read."""
+        """Return how many bytes are buffered for a peer that does not read."""
         return 0 if self.closed else self.transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """End the connection at once; what is not sent yet is dropped."""
+        """Close the connection at once and drop unsent bytes."""
         if not self.closed:
             self.closed = True
             self.transport.abort()
 
 
 class ConnectionServer(ABC):
-    """Accepts connections on some addresses."""
+    """Accepts connections on one or more addresses."""
 
     def __init__(self) -> None:
         self.listeners: list[socket.socket] = []
@@ -106,10 +107,10 @@
 
     @abstractmethod
     def new_connection(self) -> Connection:
-        """Return what serves the next connection."""
+        """Return the protocol object that serves the next connection."""
 
     def listen(self, host: str, port: int) -> None:
-        """Open an address; raise AddressInUseError."""
+        """Listen on an address; raise AddressInUseError."""
         try:
             listener = socket.create_server((host, port), backlog=BACKLOG)
         except OSError as error:
@@ -117,14 +118,14 @@
         self.add_sockets([listener])
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept connections on sockets that listen."""
+        """Accept connections on listening sockets."""
         for listener in sockets:
             listener.setblocking(False)
             self.listeners.append(listener)
             self.accept_tasks.append(asyncio.ensure_future(self.accept_on(listener)))
 
     async def accept_on(self, listener: socket.socket) -> None:
-        """Have the loop accept connections."""
+        """Have the event loop accept connections on a listening socket."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             self.new_connection, sock=listener, backlog=BACKLOG
@@ -132,18 +133,18 @@
         self.servers.append(server)
 
     def stop(self) -> None:
-        """Accept no more connections; those that stand go on."""
+        """Accept no more connections; open ones are not closed."""
         for task in self.accept_tasks:
             task.cancel()
         for server in self.servers:
             server.close()
         for listener in self.listeners:
-            # Also those that the loop does not know yet.
+            # Includes those that the loop has not started to accept on.
             listener.close()
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Have the kernel find a connection that went silent for good."""
+    """Have the kernel detect a connection whose peer is gone."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
