--- a/sequoiaspoke/sidecar/changelog.py
+++ b/sequoiaspoke/sidecar/changelog.py
@@ -1,4 +1,4 @@
-"""Log what has changed in what a node knows of the platform."""
+"""Log changes of a node's knowledge of the platform."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     from sequoiaspoke.core.mesh.directory import Directory
     from sequoiaspoke.sidecar.logs import EventLog
 
-# Endpoints of one change that have a line each; of more, as a node learns of at its
-# start, one line tells how many and a digest that is the same at every node.
+# Endpoints of one change that are logged on a line each. More, as when a node starts,
+# are logged as one line with their number and a digest that is the same at every node.
 MAX_LINES = 8
 
 
 def log_endpoints(
     log: EventLog, directory: Directory, serial: int, source: str
 ) -> None:
-    """Log the endpoints that were taken and left since a count of changes."""
+    """Log the endpoints that were added, changed or removed since a serial."""
     held, gone = directory.changed_since(serial)
     if len(held) + len(gone) > MAX_LINES:
         names = (f"{e.endpoint.instance}/{e.endpoint.born}" for e in held)
@@ -54,10 +54,10 @@
 def log_evacuations(
     log: EventLog, directory: Directory, before: frozenset[str], source: str
 ) -> None:
-    """Log the zones that were evacuated and taken back."""
+    """Log the zones whose evacuation has begun or ended."""
     zones = directory.grouping.closed_zones
     for zone in sorted(zones - before):
-        # There are none if nobody knows a zone of that name.
+        # Zero if no known endpoint is in a zone of that name.
         held = directory.held.values()
         endpoints = sum(each.endpoint.zone == zone for each in held)
         log.event("zone-evacuated", zone=zone, endpoints=endpoints, source=source)
--- a/sequoiaspoke/sidecar/gossip.py
+++ b/sequoiaspoke/sidecar/gossip.py
@@ -1,8 +1,8 @@
-"""What the links between nodes need from whoever follows the platform.
+"""The interface by which links pass on knowledge of the platform.
 
-A node that the store turns away, for one as it starts, would know nobody and refuse its
-callers while the others know all it needs; and the nodes of a zone let two of them
-read the store for all.
+A node that the store refuses, for example as it starts, would know no endpoint and
+refuse its callers although other nodes have all it needs. Besides, two nodes of each
+zone read the store for the others.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 
 class Gossip(ABC):
-    """What nodes tell each other of the platform."""
+    """Exchanges knowledge of the platform with other nodes."""
 
     @abstractmethod
     def uninformed(self) -> bool:
-        """Return whether this node lacks news that others may have."""
+        """Return whether this node lacks knowledge that others may have."""
 
     @abstractmethod
     def knowledge_request(self) -> wire.Ask:
-        """Return the question for what another node knows better."""
+        """Return the request for newer knowledge of another node."""
 
     @abstractmethod
     def answer(self, ask: wire.Ask) -> wire.Knowledge | None:
-        """Return what this node knows, or None if that is no use to the other."""
+        """Return what this node knows, or None if that is of no use to the other."""
 
     @abstractmethod
     def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
-        """Take what another node knows; return False if it has to tell all of it.
+        """Apply knowledge of another node; return False if all of it is needed.
 
         Parameters
         ----------
@@ -47,26 +47,26 @@
     def handle_confirmation(
         self, confirmed: wire.Confirmed, clock_offset: float
     ) -> None:
-        """Take a reader's word that nothing has changed."""
+        """Apply a reader's confirmation that nothing has changed."""
 
     @abstractmethod
     def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
-        """Tell another node what is known and every change from now on."""
+        """Send another node what is known, and every change from now on."""
 
     @abstractmethod
     def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
-        """Note what a subscriber has by now."""
+        """Record which version of the configuration a subscriber has."""
 
     @abstractmethod
     def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
-        """Take news of crashes, or a question for them."""
+        """Handle crash reports, or a request for them."""
 
     @abstractmethod
     def link_up(self, link: LinkClient) -> None:
-        """Note that a link of this node stands anew."""
+        """Handle a link of this node that was established."""
 
     @abstractmethod
     def link_down(self, link: LinkClient) -> None:
-        """Note that a link of this node ended or could not be opened."""
+        """Handle a link of this node that ended or could not be opened."""
--- a/sequoiaspoke/sidecar/items.py
+++ b/sequoiaspoke/sidecar/items.py
@@ -1,4 +1,4 @@
-"""Decode the store's items for a sidecar, and count and log those that are no use."""
+"""Decode the store's items for a sidecar, and count and log invalid ones."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.source import ItemDecoder, StoreItem
 
-# Keys for which it is remembered that their item was refused; a store that is read anew
-# tells it again. Beyond, all are forgotten, which costs a line each.
+# Keys whose refused item is remembered, as reading the whole store again returns it
+# again. Beyond that all are forgotten, which costs another log line for each.
 MAX_REFUSED_KEYS = 1000
-# Characters of a key or reason in the log; another writer may have chosen them.
+# Characters of a key or reason in the log; either may come from another writer.
 MAX_LOGGED_LENGTH = 200
 
 
 class ItemParser:
-    """Reads items; one that cannot be used is None and leaves what stood before.
+    """Parses items; an invalid one gives None, and the earlier one stays in force.
 
     Attributes
     ----------
@@ -39,7 +39,7 @@
         self.refused_at: dict[str, int] = {}
 
     def endpoint(self, item: StoreItem) -> Endpoint | None:
-        """Return an item's endpoint, or None if it is no use."""
+        """Return an item's endpoint, or None if it is invalid."""
         assert item.value is not None
         try:
             return self.decoder.endpoint(item.key, item.value)
@@ -48,7 +48,7 @@
             return None
 
     def config(self, item: StoreItem) -> MeshConfig | None:
-        """Return an item's configuration, or None if it is no use."""
+        """Return an item's configuration, or None if it is invalid."""
         assert item.value is not None
         try:
             return self.decoder.config(item.value)
@@ -57,7 +57,7 @@
             return None
 
     def evacuation(self, item: StoreItem) -> Evacuation | None:
-        """Return an item's evacuation or its end, or None if it is no use."""
+        """Return the evacuation an item starts or ends, or None if it is invalid."""
         zone = self.decoder.evacuated_zone(item.key)
         if item.value is None:
             return Evacuation(zone, item.revision, ended=True)
@@ -69,7 +69,7 @@
         return Evacuation(zone, item.revision)
 
     def refuse(self, item: StoreItem, error: ItemError) -> None:
-        """Count and log an item that cannot be used, each time it was written once."""
+        """Count and log an invalid item, once for each time it was written."""
         if self.refused_at.get(item.key, 0) >= item.revision:
             return
         if len(self.refused_at) >= MAX_REFUSED_KEYS:
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -1,9 +1,9 @@
-"""Share what is known of the platform between the nodes of a zone.
+"""Share knowledge of the platform between the nodes of a zone.
 
 Two nodes of each zone read the store (`core/mesh/reading.py`); the others subscribe to
-both. A reader tells each change, and each confirmation by the store that there was
-none. A subscriber takes from either whatever is newer than what it knows, so that
-nothing is lost when one of them dies, falls behind or is cut off.
+both. A reader sends each change, and each confirmation by the store that there was
+none. A subscriber applies whatever is newer than what it knows, from either reader, so
+that nothing is lost when one of them dies, falls behind or is cut off.
 """
 
 from __future__ import annotations
@@ -29,28 +29,30 @@
     from sequoiaspoke.sidecar.peers import Peers
     from sequoiaspoke.sidecar.state import MeshState
 
-# Seconds after which a reader tells of a new configuration also those whose first
-# reader is another: that one may be dead, or its link full.
+# Seconds after which a reader sends a new configuration also to subscribers whose
+# first reader is the other one: that one may be dead, or its link saturated.
 SECOND_READER_DELAY = 0.5
-# Routes of a change that is told by one reader first; fewer are some 3 KB, which all
-# nodes of a zone are told twice within a quarter of a second on a link of 2.5 Mbit/s.
+# A change of more routes than this is sent by one reader first. A smaller one has some
+# 3 KB, which reaches all nodes of a zone twice within a quarter of a second on a link
+# of 2.5 Mbit/s.
 LARGE_CHANGE_ROUTES = 200
-# Seconds by which an answer must be newer to be worth its bytes.
+# Seconds by which knowledge must be newer than the asking node's to be sent.
 MIN_AGE_GAIN = 0.5
 
 
 @dataclass
 class Subscriber:
-    """A node that is told every change, and what it was told so far.
+    """A node that is sent every change, and what it was sent so far.
 
     Attributes
     ----------
     first : bool
-        Whether it is told of a new configuration at once.
+        Whether it is sent a new configuration at once.
     serial, version, rates_serial, evacuations_serial : int
-        The counts of changes that it was told, and the configuration it has.
+        The serials of the changes that it was sent, and the version of the
+        configuration that it has.
     confirmed : float
-        The last confirmation by the store that it was told.
+        Time of the last confirmation by the store that it was sent.
     """
 
     stream: FrameStream
@@ -63,14 +65,14 @@
 
 
 class Spread(Gossip):
-    """What this node tells others of the platform and learns from them.
+    """Exchanges knowledge of the platform with the nodes of the zone.
 
     Attributes
     ----------
     config_deferred : bool
-        Whether a subscriber was not told of the newest configuration yet.
+        Whether a subscriber was not sent the newest configuration yet.
     reader_links : dict of str to LinkClient
-        The links on which this node has subscribed.
+        The links on which this node has subscribed, by host.
     """
 
     def __init__(self, state: MeshState, duty: ReadingDuty, log: EventLog) -> None:
@@ -84,13 +86,13 @@
         self.crash_news: CrashNews | None = None
 
     def uninformed(self) -> bool:
-        """Return whether this node knows nothing yet."""
+        """Return whether this node's knowledge is still incomplete."""
         return not self.state.complete
 
-    # As one who knows.
+    # Sending.
 
     def answer(self, ask: wire.Ask) -> wire.Knowledge | None:
-        """Return what this node knows, or None if that is no use to the other."""
+        """Return what this node knows, or None if that is of no use to the other."""
         state = self.state
         now = clock.now()
         if not state.complete:
@@ -101,12 +103,12 @@
         return pack_knowledge(state.knowledge(0, ask.config_version))
 
     def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
-        """Tell another node what is known and every change from now on."""
+        """Send another node what is known, and every change from now on."""
         kept = [each for each in self.subscribers if each.stream is not stream]
         new = Subscriber(stream, subscribe.config_version, subscribe.first)
         self.subscribers = [*kept, new]
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
-            # Others read for this zone from now on, maybe.
+            # The readers of the zone have changed.
             self.state.changed()
         if self.crash_news is not None:
             self.crash_news.tell_all(stream.send)
@@ -115,35 +117,35 @@
     def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
-        """Take news of crashes, or a question for them."""
+        """Handle crash reports, or a request for them."""
         if self.crash_news is not None:
             self.crash_news.take(message, reply)
 
     def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
-        """Note what a subscriber has by now."""
+        """Record which version of the configuration a subscriber has."""
         for each in self.subscribers:
             if each.stream is stream:
                 each.version = max(each.version, holds.config_version)
                 each.first = holds.first
 
     def tick(self, now: float) -> None:
-        """Tell those whose first reader has not told them of a configuration."""
+        """Send a deferred configuration once its delay is over."""
         if self.config_deferred and not self.defers_config(now):
             self.publish()
 
     def defers_config(self, now: float) -> bool:
-        """Return whether the newest configuration goes to a half of the zone only."""
+        """Return whether the newest configuration goes to some subscribers only."""
         large = self.state.history.changed_routes > LARGE_CHANGE_ROUTES
         return large and now - self.state.installed < SECOND_READER_DELAY
 
     def publish(self) -> None:
-        """Tell the subscribers what they have not been told."""
+        """Send the subscribers what they have not been sent yet."""
         state = self.state
         self.announce_version()
         self.subscribers = [each for each in self.subscribers if not each.stream.closed]
         if not state.complete:
             return
-        # Most have been told the same, and packing is the dear part.
+        # Most subscribers lack the same, and packing is the expensive part.
         packed: dict[tuple[int, int, int, int], SharedFrame] = {}
         now = clock.now()
         defers_config = self.defers_config(now)
@@ -172,10 +174,10 @@
     def frame_since(
         self, serial: int, version: int, rates_serial: int, evacuations_serial: int
     ) -> wire.Frame:
-        """Return the frame that tells what is new since some counts and a version.
+        """Return the frame for what is new since some serials and a version.
 
-        Mostly there is nothing but the store's word that it is so, which a subscriber
-        hears twice a second.
+        Mostly that is only a confirmation by the store that nothing has changed, which
+        each subscriber is sent twice a second.
         """
         state = self.state
         unchanged = (serial, version) == (state.directory.serial, state.version)
@@ -194,22 +196,22 @@
             knowledge.link_rates = self.duty.reader_rates
         return wire.Frame(knowledge=knowledge)
 
-    # As one who learns.
+    # Receiving.
 
     def knowledge_request(self) -> wire.Ask:
-        """Return the question for what another node knows better."""
+        """Return the request for newer knowledge of another node."""
         age = min(self.state.age(clock.now()), 1e6)
         return wire.Ask(self.state.version, age)
 
     def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
-        """Take what another node knows; return False if it has to tell all of it.
+        """Apply knowledge of another node; return False if all of it is needed.
 
         Parameters
         ----------
         clock_offset : float
-            Seconds by which the other node's clock is ahead of this one's. What it
-            tells may have been on its way for seconds, through a link that was cut or
-            full; by its age at the time of sending it would be taken for fresh.
+            Seconds by which the other node's clock is ahead of this one's. Knowledge
+            may be on its way for seconds, on a link that was cut or saturated; if it
+            carried its age at the time of sending, it would be taken for fresh.
         """
         now = clock.now()
         self.duty.learn_rates(knowledge.link_rates or {})
@@ -225,7 +227,7 @@
         try:
             self.state.learn(received)
         except KeyError:
-            # Its change goes out from a version that this node never had.
+            # The delta has a base version that this node never had.
             return False
         self.duty.heard(received.as_of)
         return True
@@ -233,7 +235,7 @@
     def handle_confirmation(
         self, confirmed: wire.Confirmed, clock_offset: float
     ) -> None:
-        """Take a reader's word that it has read nothing since it last told."""
+        """Apply a reader's confirmation that nothing has changed."""
         as_of, answered_at = (
             confirmed.as_of - clock_offset,
             confirmed.answered_at - clock_offset,
@@ -243,18 +245,18 @@
         self.duty.heard(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
-        """Subscribe to a reader whose link stands anew."""
+        """Subscribe to a reader whose link was established."""
         self.duty.link_up(link.address[0])
         if link.address[0] in self.duty.readers:
             self.subscribe_to(link)
 
     def link_down(self, link: LinkClient) -> None:
-        """Reckon without a reader whose link has ended."""
+        """Drop the subscription to a reader whose link has ended."""
         self.reader_links.pop(link.address[0], None)
         self.duty.link_down(link.address[0])
 
     def subscribe_to(self, link: LinkClient) -> None:
-        """Ask a reader for every change from now on."""
+        """Subscribe to a reader."""
         host = link.address[0]
         self.reader_links[host] = link
         first = host == self.duty.first_reader
@@ -263,9 +265,9 @@
             self.crash_news.tell_all(link.send)
 
     def announce_version(self) -> None:
-        """Tell the readers which configuration this node has, if that is news to them.
+        """Tell the readers which configuration this node has, if that has changed.
 
-        The one that is not to tell it first need not tell it at all then.
+        The second reader then need not send it at all.
         """
         current = (self.state.version, self.duty.first_reader)
         if current == self.announced:
@@ -275,7 +277,7 @@
             link.announce_version(self.state.version, host == self.duty.first_reader)
 
     def follow_readers(self, peers: Peers) -> None:
-        """Keep links to the zone's readers and subscribe to those that are new."""
+        """Keep links to the zone's readers, and subscribe to new ones."""
         own = peers.identity.host
         readers = {host for host in self.duty.readers if host != own}
         for host in self.reader_links.keys() - readers:
--- a/sequoiaspoke/sidecar/wirecalls.py
+++ b/sequoiaspoke/sidecar/wirecalls.py
@@ -1,4 +1,4 @@
-"""Turn calls between nodes, and what comes of them, into messages and back."""
+"""Convert calls between nodes, and their outcomes, to messages and back."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def pack_outcome(number: int, outcome: Outcome, load_report: News) -> wire.Frame:
-    """Return the frame for what came of a call, with the home's word on its load."""
+    """Return the frame for a call's outcome, with the home's load report."""
     if isinstance(outcome, Answer):
         answer = wire.Answer(
             number,
@@ -88,9 +88,9 @@
 
 
 def unpack_outcome(frame: wire.Frame) -> tuple[int, Outcome, News | None] | None:
-    """Return the number of a call, what came of it and the home's word, if any.
+    """Return a call's number, its outcome and the home's load report, if any.
 
-    None if the frame tells of no outcome.
+    None if the frame holds no outcome.
     """
     if frame.answer is not None:
         message = frame.answer
@@ -115,20 +115,20 @@
 
 
 def pack_load_report(load_report: News) -> wire.News:
-    """Return the message for a home's word on its load."""
+    """Return the message for a home's load report."""
     return wire.News(load_report.strain, load_report.expected, load_report.wait)
 
 
 def unpack_load_report(message: wire.News) -> News:
-    """Return a home's word on its load from its message."""
+    """Return a home's load report from its message."""
     return News(message.strain, message.expected, message.wait)
 
 
 def flatten_headers(headers: Headers) -> list[str]:
-    """Return names and values in turn."""
+    """Return header names and values alternating in one list."""
     return [text for pair in headers for text in pair]
 
 
 def unflatten_headers(flat: list[str]) -> Headers:
-    """Return names with their values."""
+    """Return pairs of header name and value from an alternating list."""
     return tuple(zip(flat[::2], flat[1::2], strict=True))
--- a/sequoiaspoke/sidecar/wireknowledge.py
+++ b/sequoiaspoke/sidecar/wireknowledge.py
@@ -1,4 +1,4 @@
-"""Turn what nodes tell each other of the platform into messages and back."""
+"""Convert a node's knowledge of the platform to messages and back."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
-# Largest configuration that is unpacked, in bytes; a whole one of 2,000 routes is
-# some 200 KB.
+# Maximum size of a decompressed configuration in bytes; a whole one of 2,000 routes
+# has some 200 KB.
 MAX_CONFIG_BYTES = 16 << 20
 
 
@@ -103,21 +103,21 @@
 
 
 def pack_departure(departure: Departure) -> wire.Gone:
-    """Return the message for an endpoint's end."""
+    """Return the message for a departure."""
     return wire.Gone(
         departure.instance, departure.revision, departure.born, departure.drained
     )
 
 
 def unpack_departure(message: wire.Gone) -> Departure:
-    """Return an endpoint's end from its message."""
+    """Return a departure from its message."""
     return Departure(message.instance, message.born, message.revision, message.drained)
 
 
 def pack_evacuations(
     evacuations: tuple[Evacuation, ...] | None,
 ) -> list[wire.Evacuation] | None:
-    """Return the messages for the last orders of the zones, if they are told."""
+    """Return the messages for the zones' latest evacuations, None for None."""
     if evacuations is None:
         return None
     return [
@@ -128,14 +128,14 @@
 def unpack_evacuations(
     messages: list[wire.Evacuation] | None,
 ) -> tuple[Evacuation, ...] | None:
-    """Return the last orders of the zones from their messages."""
+    """Return the zones' latest evacuations from their messages, None for None."""
     if messages is None:
         return None
     return tuple(Evacuation(each.zone, each.revision, each.ended) for each in messages)
 
 
 def pack_config(delta: ConfigDelta, revision: int) -> bytes:
-    """Return the compressed message for a change of the configuration."""
+    """Return the compressed message for a delta of the configuration."""
     limits = delta.limits
     message = wire.ConfigDelta(
         delta.base,
@@ -157,14 +157,14 @@
 
 
 def unpack_config(packed: bytes) -> tuple[ConfigDelta, int]:
-    """Return a change of the configuration and its revision; raise MessageError."""
+    """Return a delta of the configuration and its revision; raise MessageError."""
     message = wire.ConfigDelta()
     try:
         decompressed = zlib.decompressobj().decompress(packed, MAX_CONFIG_BYTES)
         message.read(TCompactProtocolAccelerated(TMemoryBuffer(decompressed)))
     except Exception as error:
-        # The decoder raises whatever the bytes provoke.
-        raise MessageError(f"configuration: {error!r}") from error
+        # The decoder raises any kind of exception on malformed bytes.
+        raise MessageError(f"cannot decode configuration: {error!r}") from error
     limits = message.limits
     delta = ConfigDelta(
         base=message.base,
@@ -190,7 +190,7 @@
 
 
 def unpack_service(message: wire.Service) -> Service:
-    """Return a service."""
+    """Return a service from its message."""
     return Service(
         message.name, message.health_path, message.cold_rate, message.cold_seconds
     )
@@ -213,7 +213,7 @@
 
 
 def unpack_route(message: wire.Route) -> Route:
-    """Return a route."""
+    """Return a route from its message."""
     return Route(
         message.name,
         message.host,
