--- a/sequoiaspoke/tests/test_fuzz_links.py
+++ b/sequoiaspoke/tests/test_fuzz_links.py
@@ -1,4 +1,4 @@
-"""Random frames and messages of other nodes, as a broken one would send them."""
+"""Fuzz tests of frames and messages from other nodes."""
 
 import contextlib
 import random
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from sequoiaspoke.core.idempotency import messages as vouching
+from sequoiaspoke.core.idempotency import messages as idempotency_messages
 from sequoiaspoke.core.idempotency.epoch import Epoch
 from sequoiaspoke.core.spread import events, messages
 from sequoiaspoke.core.spread.core import SpreadCore
@@ -40,7 +40,7 @@
     st.builds(messages.Part, DIGESTS, st.binary(max_size=9)), max_size=2
 ).map(tuple)
 EPOCHS = st.builds(Epoch, NUMBERS, DIGESTS, NUMBERS)
-MAYBE = st.none() | EPOCHS
+OPTIONAL_EPOCHS = st.none() | EPOCHS
 MESSAGES = st.one_of(
     st.builds(messages.Hello, TEXT, TEXT, NUMBERS, STATUS),
     st.builds(messages.Welcome, TEXT, TEXT, NUMBERS, STATUS),
@@ -53,26 +53,36 @@
     st.builds(messages.PartsAnswer, PARTS, st.booleans()),
     st.builds(messages.VmsQuestion, NUMBERS),
     st.builds(messages.VmsAnswer, NUMBERS, NUMBERS, st.binary(max_size=9), TEXTS),
-    st.builds(vouching.Question, TEXT, TEXT, TEXT, NUMBERS, EPOCHS, EPOCHS, EPOCHS),
-    st.builds(vouching.Answer, TEXT, TEXT, NUMBERS, MAYBE, MAYBE, MAYBE),
+    st.builds(
+        idempotency_messages.Question, TEXT, TEXT, TEXT, NUMBERS, EPOCHS, EPOCHS, EPOCHS
+    ),
+    st.builds(
+        idempotency_messages.Answer,
+        TEXT,
+        TEXT,
+        NUMBERS,
+        OPTIONAL_EPOCHS,
+        OPTIONAL_EPOCHS,
+        OPTIONAL_EPOCHS,
+    ),
 )
 HELLO = messages.Hello("v1", "z", 1, messages.Status(1, "ab" * 16))
 CHANGES = st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=4)
 
 
 def encoded(message):
-    """Return a frame's payload, or nothing where the fields do not fit it."""
+    """Return a frame's payload, or nothing if the fields cannot be encoded."""
     try:
         return encode_message(1, message)
-    except Exception:  # what this side builds is no input from outside
+    except Exception:  # only encoded messages are input from outside
         return b""
 
 
 class FrameFuzzTests(TestCase):
-    """A node of another program, or none at all, speaks to the peer port.
+    """Arbitrary bytes arrive at the peer port.
 
-    An exception that is not the link's own would end the task that reads, and
-    the connection would stay open with nobody listening.
+    An exception other than MessageError would end the task that reads, and the
+    connection would stay open without a reader.
     """
 
     @FUZZ
@@ -85,9 +95,9 @@
     @given(MESSAGES, CHANGES)
     def test_messages_with_bytes_changed(self, message, changes):
         payload = bytearray(encoded(message))
-        for place, value in changes:
+        for index, value in changes:
             if payload:
-                payload[place % len(payload)] = value
+                payload[index % len(payload)] = value
         with contextlib.suppress(MessageError):
             decode_message(bytes(payload))
 
@@ -101,7 +111,7 @@
 
 
 class MessageFuzzTests(TestCase):
-    """Well-formed messages arrive whose values make no sense, in any order."""
+    """Well-formed messages with arbitrary values arrive in any order."""
 
     @FUZZ
     @given(st.lists(st.tuples(MESSAGES, st.integers(0, 4)), max_size=12))
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -19,8 +19,8 @@
 from sequoiaspoke.sidecar.pending import LinkIdentity
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
-WAIT = 20.0  # seconds; only a failing test waits so long
-SLOTS = 8  # of the upstream, more than any test sends
+WAIT = 20.0  # seconds until a test fails
+SLOTS = 8  # of the upstream; more than any test has calls
 
 
 class NoGossip(Gossip):
@@ -56,7 +56,7 @@
 
 
 class FakeUpstream:
-    """Runs each call until it is told to answer."""
+    """Runs each call until its gate is opened."""
 
     told_load = None
 
@@ -96,20 +96,20 @@
             address, self.identity, NoGossip(), self.log, TcpDialer()
         )
 
-    def begin(self, target="/1", idempotent=False):
+    def start_call(self, target="/1", idempotent=False):
         now = clock.now()
         request = Request("POST", target, (("Host", "x"),), b"sent")
         call = HomeCall(
             request, Incarnation("i-1"), "r", 0, idempotent, now + 5, now + 30
         )
-        told = asyncio.get_running_loop().create_future()
+        future = asyncio.get_running_loop().create_future()
         pending = self.link.submit(
-            call, lambda outcome: told.done() or told.set_result(outcome)
+            call, lambda outcome: future.done() or future.set_result(outcome)
         )
-        told.add_done_callback(
-            lambda told: self.link.cancel(pending) if told.cancelled() else None
+        future.add_done_callback(
+            lambda future: self.link.cancel(pending) if future.cancelled() else None
         )
-        return told
+        return future
 
     async def until(self, condition):
         async with asyncio.timeout(WAIT):
@@ -117,7 +117,7 @@
                 await asyncio.sleep(0.002)
 
     async def restart(self):
-        """Replace the home by one that remembers nothing."""
+        """Replace the home by a new incarnation."""
         address = self.socket.getsockname()[:2]
         self.server.stop()
         for link in list(self.server.links):
@@ -135,7 +135,7 @@
 
 
 class MeshLinkTests(TestCase):
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def run():
             world = LinkWorld()
             try:
@@ -148,19 +148,19 @@
 
     def test_calls_are_answered_side_by_side(self):
         async def scenario(world):
-            calls = [world.begin(f"/{number}") for number in range(3)]
+            calls = [world.start_call(f"/{number}") for number in range(3)]
             await world.until(lambda: len(world.upstream.runs) == 3)
             world.upstream.gate.set()
             bodies = [(await call).body for call in calls]
             self.assertEqual(bodies, [b"body of /0", b"body of /1", b"body of /2"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_reset_link_neither_loses_nor_doubles_a_call(self):
-        # A middlebox resets the link while a booking runs. Without asking again the
-        # caller hears that nobody knows; sent anew as another call, it is booked twice.
+        # A middlebox resets the link while a call runs. If the call is not sent again,
+        # its outcome is unknown; if it is sent under another number, it runs twice.
         async def scenario(world):
-            call = world.begin()
+            call = world.start_call()
             await world.until(lambda: world.upstream.runs)
             world.link.stream.close()
             await world.until(lambda: world.link.established and world.home.counts)
@@ -168,12 +168,12 @@
             self.assertEqual((await call).body, b"body of /1")
             self.assertEqual(world.upstream.runs, ["/1"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_an_answer_given_while_the_link_was_down_is_kept(self):
-        # The link breaks and the upstream answers before another stands.
+        # The link breaks, and the upstream answers before it is established again.
         async def scenario(world):
-            call = world.begin()
+            call = world.start_call()
             await world.until(lambda: world.upstream.runs)
             for link in list(world.server.links):
                 link.stream.close()
@@ -181,18 +181,18 @@
             self.assertEqual((await call).status, 200)
             self.assertEqual(world.upstream.runs, ["/1"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_call_that_waited_for_a_sign_is_not_sent_twice(self):
-        # A link idles and is dead without a word. The next call asks for a sign first;
-        # the link's end is noticed and another one is opened meanwhile. Were the call
-        # sent with the new link and then told as not run, since no sign came, its
-        # entry would send it to another home, and the caller's order runs twice.
+    def test_a_call_held_until_the_home_answers_is_not_sent_twice(self):
+        # An idle link is dead, so that the next call is held for an answer to a ping.
+        # Meanwhile the link's end is detected and another one is opened. If the call
+        # were sent on that one and then reported as not run, because no answer came,
+        # the entry would send it to another home and it would run twice.
         async def scenario(world):
             world.upstream.gate.set()
-            await world.begin("/first")
+            await world.start_call("/first")
             await asyncio.sleep(2 * RECENT_SECONDS)
-            call = world.begin("/second", idempotent=False)
+            call = world.start_call("/second", idempotent=False)
             await asyncio.sleep(0)
             for link in list(world.server.links):
                 link.stream.close()
@@ -202,44 +202,44 @@
             else:
                 self.assertEqual(world.upstream.runs.count("/second"), 1)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_call_to_a_home_that_forgot_it_is_told_as_unknown(self):
-        # The home is killed while it runs a booking and starts again. It knows nothing
-        # of the call; run again it might be booked twice, told as not run it
-        # might be booked by the caller's repeat.
+    def test_a_call_to_a_restarted_home_is_unknown(self):
+        # The home is killed while it runs a call, and starts again without knowing of
+        # it. If the call ran again, or were reported as not run and retried by the
+        # caller, it might run twice.
         async def scenario(world):
-            call = world.begin()
+            call = world.start_call()
             await world.until(lambda: world.upstream.runs)
             await world.restart()
             self.assertIsInstance(await call, Unknown)
             self.assertEqual(world.upstream.runs, ["/1"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_home_that_cannot_be_reached_has_not_run_the_call(self):
         async def scenario(world):
             world.server.stop()
-            self.assertEqual(await world.begin(), NotRun("home-unreachable"))
+            self.assertEqual(await world.start_call(), NotRun("home-unreachable"))
             self.assertTrue(world.link.failing)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_caller_that_leaves_stops_what_may_be_repeated(self):
-        # The caller has closed its page. The upstream would go on to work for nobody.
+    def test_a_caller_that_leaves_cancels_an_idempotent_call(self):
+        # Without the cancellation the upstream would go on with a call whose answer
+        # nobody reads.
         async def scenario(world):
-            call = world.begin(idempotent=True)
+            call = world.start_call(idempotent=True)
             await world.until(lambda: world.upstream.runs)
             call.cancel()
             await world.until(lambda: world.upstream.cancelled == 1)
             await world.until(lambda: world.home.admission.running == 0)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_call_that_is_cancelled_as_it_comes_holds_no_slot(self):
-        # A link stood still, and a call and the word that its caller has left come in
-        # one piece. The call was cancelled before it had begun, and held its slot for
-        # good.
+    def test_a_call_that_is_cancelled_before_it_starts_holds_no_slot(self):
+        # After a stall of the link a call and its cancellation arrive together. A call
+        # that was cancelled before it had started kept its slot for good.
         async def scenario(world):
             now = clock.now()
             request = Request("GET", "/1", (), b"")
@@ -250,14 +250,14 @@
             self.assertEqual(world.home.admission.running, 0)
             self.assertEqual(world.upstream.runs, [])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_the_slot_of_a_cancelled_call_is_free_only_after_a_moment(self):
-        # The upstream drops a cancelled call when it sees its connection close. Sent
-        # the next call before that, it has one more than it can run.
+    def test_the_slot_of_a_cancelled_call_is_free_only_after_a_delay(self):
+        # The upstream drops a cancelled call when it sees its connection close. A call
+        # sent before that would be one more than it can run.
         async def scenario(world):
             world.home.take_slots(1)
-            first, second = (world.begin(f"/{n}", idempotent=True) for n in (1, 2))
+            first, second = (world.start_call(f"/{n}", idempotent=True) for n in (1, 2))
             await world.until(lambda: world.upstream.runs)
             cancelled = clock.now()
             first.cancel()
@@ -265,26 +265,26 @@
             self.assertTrue(clock.now() - cancelled >= SETTLE_SECONDS)
             second.cancel()
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_caller_that_leaves_does_not_break_off_what_may_run_once(self):
+    def test_a_caller_that_leaves_does_not_cancel_a_call_that_may_run_only_once(self):
         async def scenario(world):
-            call = world.begin()
+            call = world.start_call()
             await world.until(lambda: world.upstream.runs)
             call.cancel()
-            await world.begin("/2") if world.upstream.gate.set() else None
+            await world.start_call("/2") if world.upstream.gate.set() else None
             await world.until(lambda: not world.home.calls)
             self.assertEqual(world.upstream.cancelled, 0)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_home_that_was_stopped_is_used_again_when_it_is_back(self):
-        # A home is stopped by plan and starts again while this entry has no call for
-        # it. Nobody would dial it, it would be taken to be leaving for good, and its
-        # callers here would be refused although it serves all others.
+        # A home is stopped in an orderly way and starts again while this entry has no
+        # call for it. If it were not dialled, it would count as leaving for good, and
+        # callers would be refused here although it serves all other entries.
         async def scenario(world):
             world.upstream.gate.set()
-            await world.begin("/1")
+            await world.start_call("/1")
             world.home.leaving = True
             world.server.announce_leaving()
             await world.until(lambda: world.link.leaving)
@@ -292,28 +292,28 @@
             await world.until(lambda: not (world.link.leaving or world.link.failing))
             self.assertEqual(world.link.incarnation, 8)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_home_that_was_silent_is_used_again_when_it_answers(self):
         async def scenario(world):
             world.upstream.gate.set()
-            await world.begin("/1")
+            await world.start_call("/1")
             world.link.failing = True
             world.link.stream.close()
             await world.until(lambda: world.link.established and not world.link.failing)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_leaving_home_refuses_new_calls_and_finishes_the_others(self):
         async def scenario(world):
-            call = world.begin()
+            call = world.start_call()
             await world.until(lambda: world.upstream.runs)
             world.home.leaving = True
             world.server.announce_leaving()
-            refused = await world.begin("/2")
+            refused = await world.start_call("/2")
             self.assertEqual((type(refused), refused.reason), (NotRun, "leaving"))
             self.assertTrue(world.link.leaving)
             world.upstream.gate.set()
             self.assertEqual((await call).status, 200)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
