--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -370,7 +370,7 @@
         pending.resolve(outcome)
 
     def fail_sent(self, reason: str) -> None:
-        """Fail the calls that were sent, as the home no longer knows their outcome."""
+        """Fail the calls that were sent; their outcome is unknown."""
         for pending in list(self.pending.values()):
             if pending.sent_to is not None:
                 self.fail(pending, Unknown(reason))
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -19,7 +19,7 @@
 from sequoiaspoke.sidecar.pending import LinkIdentity
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
-WAIT = 20.0  # seconds until a test fails
+WAIT = 20.0  # seconds; only a failing test takes as long
 SLOTS = 8  # of the upstream; more than any test has calls
 
 
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -141,11 +141,9 @@
         self.assertEqual(self.other.duty.confirmed, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
-    def test_many_endpoints_are_logged_as_one_line_with_the_same_digest_everywhere(
-        self,
-    ):
+    def test_many_endpoints_are_logged_as_one_line_with_a_digest(self):
         # A node that starts in a fleet of 200 would log 200 lines, of which the limit
-        # lets 20 through.
+        # lets 20 through. The digest is the same at every node.
         lines = []
         for node in (self.reader, self.other):
             node.state.log.event = lambda kind, **pairs: lines.append((kind, pairs))
