--- a/sequoiaspoke/tests/test_callerserver.py
+++ b/sequoiaspoke/tests/test_callerserver.py
@@ -71,7 +71,7 @@
         # was refused for want of memory.
         async def scenario(reader, writer):
             with socket.socket() as sock:
-                connection = self.server.connection()
+                connection = self.server.new_connection()
                 connection.connection_made(FakeTransport(sock))
                 connection.data_received(
                     b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody"
