--- a/sequoiaspoke/sidecar/gossip.py
+++ b/sequoiaspoke/sidecar/gossip.py
@@ -1,8 +1,8 @@
-"""What the links between nodes need from whoever follows the platform.
+"""The interface by which links pass on knowledge of the platform.
 
-A node that the store turns away, for one as it starts, would know nobody and refuse its
-callers while the others know all it needs; and the nodes of a zone let two of them
-read the store for all.
+A node that the store refuses, for example as it starts, would know no endpoint and
+refuse its callers although other nodes have all it needs. Besides, two nodes of each
+zone read the store for the others.
 """
 
 from __future__ import annotations
@@ -13,58 +13,60 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 
 class Gossip(ABC):
-    """What nodes tell each other of the platform."""
+    """Exchanges knowledge of the platform with other nodes."""
 
     @abstractmethod
     def uninformed(self) -> bool:
-        """Return whether this node lacks news that others may have."""
+        """Return whether this node lacks knowledge that others may have."""
 
     @abstractmethod
-    def ask(self) -> wire.Ask:
-        """Return the question for what another node knows better."""
+    def knowledge_request(self) -> wire.Ask:
+        """Return the request for newer knowledge of another node."""
 
     @abstractmethod
     def answer(self, ask: wire.Ask) -> wire.Knowledge | None:
-        """Return what this node knows, or None if that is no use to the other."""
+        """Return what this node knows, or None if that is of no use to the other."""
 
     @abstractmethod
-    def learn(self, knowledge: wire.Knowledge, ahead: float) -> bool:
-        """Take what another node knows; return False if it has to tell all of it.
+    def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
+        """Apply knowledge of another node; return False if all of it is needed.
 
         Parameters
         ----------
-        ahead : float
+        clock_offset : float
             Seconds by which the other node's clock is ahead of this one's.
         """
 
     @abstractmethod
-    def confirmed(self, confirmed: wire.Confirmed, ahead: float) -> None:
-        """Take a reader's word that nothing has changed."""
+    def handle_confirmation(
+        self, confirmed: wire.Confirmed, clock_offset: float
+    ) -> None:
+        """Apply a reader's confirmation that nothing has changed."""
 
     @abstractmethod
-    def subscribe(self, frames: Frames, subscribe: wire.Subscribe) -> None:
-        """Tell another node what is known and every change from now on."""
+    def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
+        """Send another node what is known, and every change from now on."""
 
     @abstractmethod
-    def holds(self, frames: Frames, holds: wire.Holds) -> None:
-        """Note what a subscriber has by now."""
+    def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
+        """Record which version of the configuration a subscriber has."""
 
     @abstractmethod
-    def take_crashes(
+    def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
-        """Take news of crashes, or a question for them."""
+        """Handle crash reports, or a request for them."""
 
     @abstractmethod
     def link_up(self, link: LinkClient) -> None:
-        """Note that a link of this node stands anew."""
+        """Handle a link of this node that was established."""
 
     @abstractmethod
     def link_down(self, link: LinkClient) -> None:
-        """Note that a link of this node ended or could not be opened."""
+        """Handle a link of this node that ended or could not be opened."""
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -7,14 +7,14 @@
 
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.frames import TcpFrames
+from sequoiaspoke.sidecar.frames import TcpFrameStream
 from sequoiaspoke.sidecar.sockets import ConnectionServer
-from sequoiaspoke.sidecar.wirecalls import pack_news, pack_outcome, unpack_call
+from sequoiaspoke.sidecar.wirecalls import pack_load_report, pack_outcome, unpack_call
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.outcome import Outcome
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.gossip import Gossip
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.homecall import HomeCall
@@ -22,52 +22,52 @@
 
 
 class AcceptedLink:
-    """A link that another node opened."""
+    """A link opened by another node."""
 
-    def __init__(self, frames: Frames, server: LinkServer) -> None:
-        self.frames = frames
+    def __init__(self, stream: FrameStream, server: LinkServer) -> None:
+        self.stream = stream
         self.server = server
         self.peer: tuple[str, int] | None = None
         self.zone = ""
         # Seconds by which the other node's clock is ahead of this one's.
-        self.ahead = 0.0
+        self.clock_offset = 0.0
 
-    def take(self, frame: wire.Frame) -> None:
-        """Take a frame."""
+    def handle_frame(self, frame: wire.Frame) -> None:
+        """Handle one frame from the other node."""
         if frame.hello is None and self.peer is None:
-            raise MessageError("a frame before the greeting")
+            raise MessageError("frame received before the hello")
         if frame.call is not None:
-            self.call(frame.call)
+            self.handle_call(frame.call)
         elif frame.cancel is not None:
             self.server.home.cancel((self.peer, frame.cancel.number))
         elif frame.ping is not None:
-            news = pack_news(self.server.home.news())
-            pong = wire.Pong(frame.ping.sent, clock.now(), news)
-            self.frames.send(wire.Frame(pong=pong))
+            load_report = pack_load_report(self.server.home.news())
+            pong = wire.Pong(frame.ping.sent, clock.now(), load_report)
+            self.stream.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
-            self.hello(frame.hello)
+            self.handle_hello(frame.hello)
         elif frame.ask is not None:
             knowledge = self.server.gossip.answer(frame.ask)
             if knowledge is not None:
-                self.frames.send(wire.Frame(knowledge=knowledge))
+                self.stream.send(wire.Frame(knowledge=knowledge))
         elif frame.subscribe is not None:
-            self.server.gossip.subscribe(self.frames, frame.subscribe)
+            self.server.gossip.subscribe(self.stream, frame.subscribe)
         elif frame.holds is not None:
-            self.server.gossip.holds(self.frames, frame.holds)
+            self.server.gossip.update_held_version(self.stream, frame.holds)
         elif frame.crashes is not None:
-            self.server.gossip.take_crashes(frame.crashes, self.frames.send)
+            self.server.gossip.handle_crashes(frame.crashes, self.stream.send)
         elif frame.knowledge is not None:
-            if not self.server.gossip.learn(frame.knowledge, self.ahead):
-                self.frames.send(wire.Frame(ask=self.server.gossip.ask()))
+            if not self.server.gossip.learn(frame.knowledge, self.clock_offset):
+                self.stream.send(wire.Frame(ask=self.server.gossip.knowledge_request()))
 
-    def hello(self, hello: wire.Hello) -> None:
-        """Take the name of the other node; its older links end unread."""
+    def handle_hello(self, hello: wire.Hello) -> None:
+        """Record the other node's identity, and close its older links unread."""
         self.peer = (hello.host, hello.incarnation)
         self.zone = hello.zone
-        self.ahead = hello.clock - clock.now()
+        self.clock_offset = hello.clock - clock.now()
         for link in list(self.server.links):
             if link is not self and link.peer == self.peer:
-                link.frames.close()
+                link.stream.close()
         home = self.server.home
         welcome = wire.Welcome(
             self.server.incarnation,
@@ -75,25 +75,25 @@
             home.leaving,
             self.server.gossip.uninformed(),
         )
-        self.frames.send(wire.Frame(welcome=welcome))
+        self.stream.send(wire.Frame(welcome=welcome))
 
-    def call(self, call: wire.Call) -> None:
-        """Take a call."""
+    def handle_call(self, call: wire.Call) -> None:
+        """Submit a call to the home."""
         number, home_call = call.number, unpack_call(call)
         self.server.home.submit(
             (self.peer, number),
             home_call,
-            lambda outcome: self.tell(number, home_call, outcome),
+            lambda outcome: self.send_outcome(number, home_call, outcome),
         )
 
-    def tell(self, number: int, call: HomeCall, outcome: Outcome) -> None:
-        """Send what came of a call."""
-        news = self.server.home.news(call.route, call.rank)
-        self.frames.send(pack_outcome(number, outcome, news))
+    def send_outcome(self, number: int, call: HomeCall, outcome: Outcome) -> None:
+        """Send the outcome of a call, with a load report."""
+        load_report = self.server.home.news(call.route, call.rank)
+        self.stream.send(pack_outcome(number, outcome, load_report))
 
 
 class LinkServer(ConnectionServer):
-    """Accepts links of other nodes."""
+    """Accepts links from other nodes."""
 
     def __init__(
         self, home: Home, gossip: Gossip, incarnation: int, log: EventLog
@@ -104,26 +104,26 @@
         self.incarnation = incarnation
         self.log = log
         self.links: list[AcceptedLink] = []
-        self.serving: set[asyncio.Task[None]] = set()
-
-    def connection(self) -> TcpFrames:
-        """Return the frames of the next link, which is served."""
-        frames = TcpFrames()
-        serving = asyncio.ensure_future(self.serve(frames))
-        self.serving.add(serving)
-        serving.add_done_callback(self.serving.discard)
-        return frames
-
-    async def serve(self, frames: Frames) -> None:
-        """Serve a link."""
-        link = AcceptedLink(frames, self)
+        self.link_tasks: set[asyncio.Task[None]] = set()
+
+    def new_connection(self) -> TcpFrameStream:
+        """Return the stream of the next link, and start to serve it."""
+        stream = TcpFrameStream()
+        task = asyncio.ensure_future(self.serve(stream))
+        self.link_tasks.add(task)
+        task.add_done_callback(self.link_tasks.discard)
+        return stream
+
+    async def serve(self, stream: FrameStream) -> None:
+        """Handle the frames of a link until it ends."""
+        link = AcceptedLink(stream, self)
         self.links.append(link)
-        reason = await link.frames.read(link.take)
+        reason = await link.stream.read(link.handle_frame)
         self.links.remove(link)
         if reason not in ("closed", "closed-here"):
             self.log.event("link-broken", peer=link.peer, reason=reason)
 
     def announce_leaving(self) -> None:
-        """Tell every entry that this home takes no new calls."""
+        """Tell every connected entry that this home takes no new calls."""
         for link in self.links:
-            link.frames.send(wire.Frame(leaving=wire.Leaving()))
+            link.stream.send(wire.Frame(leaving=wire.Leaving()))
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -1,4 +1,4 @@
-"""The links of this node to the homes of all endpoints."""
+"""The links from this node to the homes of all endpoints."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
     from sequoiaspoke.sidecar.pending import LinkIdentity
     from sequoiaspoke.sidecar.state import MeshState
 
-# Links held open without calls, to nodes of the own zone: by them a node that starts
-# while the store turns it away is found and told what it needs. Four reach it
-# unless all four nodes die with it.
-KEPT_LINKS = 4
-# Nodes asked at once for news, and seconds between two rounds.
-ASKED, ASK_EVERY = 2, 0.5
+# Links to nodes of the same zone that stay open without calls. Through them a node
+# that starts while the store refuses it is found and sent what it needs. With four, it
+# is reached unless all four nodes fail together with it.
+PERSISTENT_LINKS = 4
+# Nodes that are asked for newer knowledge at a time, and seconds between two rounds.
+REQUEST_PEERS, REQUEST_INTERVAL = 2, 0.5
 
 
-def ignore_host_news(host: str, news: News) -> None:
-    """Do nothing; until an entry wants the news."""
+def ignore_host_load_report(host: str, load_report: News) -> None:
+    """Do nothing; the default until an entry takes the load reports."""
 
 
 class Peers:
-    """Links by the address of the other node.
+    """The links to other nodes, by their address.
 
     Attributes
     ----------
-    watched : set of LinkClient
-        Links on which something is awaited.
-    followed : set of str
-        Nodes that read the store for this one; their links are held open.
+    active_links : set of LinkClient
+        Links that wait for their home and need `tick`.
+    reader_hosts : set of str
+        Nodes that read the store for this one; links to them stay open.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self.rng = rng
         self.log = log
         self.links: dict[str, LinkClient] = {}
-        self.watched: set[LinkClient] = set()
-        self.on_news: Callable[[str, News], None] = ignore_host_news
-        self.asked = float("-inf")
-        self.followed: set[str] = set()
+        self.active_links: set[LinkClient] = set()
+        self.on_load_report: Callable[[str, News], None] = ignore_host_load_report
+        self.last_request = float("-inf")
+        self.reader_hosts: set[str] = set()
 
     def link(self, host: str) -> LinkClient:
-        """Return the link to a node."""
+        """Return the link to a node, creating it on first use."""
         link = self.links.get(host)
         if link is None:
             link = LinkClient(
@@ -77,19 +77,19 @@
                 self.gossip,
                 self.log,
                 self.dialer,
-                self.watched,
+                self.active_links,
             )
-            link.on_news = partial(self.on_news, host)
+            link.on_load_report = partial(self.on_load_report, host)
             self.links[host] = link
         return link
 
     def reachable(self, endpoint: Endpoint) -> bool:
-        """Return whether calls to an endpoint are worth a try."""
+        """Return whether a call to an endpoint is worth an attempt."""
         link = self.links.get(endpoint.host)
         return link is None or not (link.failing or link.leaving)
 
     def refresh(self) -> None:
-        """Open and close links as endpoints come and go."""
+        """Open and close links as endpoints appear and disappear."""
         endpoints = self.state.members()
         hosts = {endpoint.host for endpoint in endpoints}
         for host in sorted(self.links.keys() - hosts):
@@ -97,42 +97,42 @@
             if not link.pending:
                 link.close()
                 del self.links[host]
-        near = {
+        same_zone = {
             endpoint.host
             for endpoint in endpoints
             if endpoint.zone == self.identity.zone
             and endpoint.host != self.identity.host
         }
-        kept = set(rank(self.identity.host, sorted(near))[:KEPT_LINKS])
-        kept |= self.followed & hosts
-        for host in sorted(kept):
+        persistent = set(rank(self.identity.host, sorted(same_zone))[:PERSISTENT_LINKS])
+        persistent |= self.reader_hosts & hosts
+        for host in sorted(persistent):
             self.link(host)
         for host, link in self.links.items():
-            link.kept = host in kept
-            if link.kept or link.failing:
+            link.persistent = host in persistent
+            if link.persistent or link.failing:
                 link.open()
 
     def tick(self, now: float) -> None:
-        """Look after the links and ask for news if what is known is old."""
-        for link in list(self.watched):
+        """Check the active links, and request knowledge if this node's is stale."""
+        for link in list(self.active_links):
             link.tick(now)
-            if link.at_rest:
-                self.watched.discard(link)
-        if self.state.stale(now) and now - self.asked > ASK_EVERY:
-            self.asked = now
-            self.ask()
-
-    def ask(self) -> None:
-        """Ask some nodes for what they know."""
-        open_links = [link for link in self.links.values() if link.greeted]
+            if link.idle:
+                self.active_links.discard(link)
+        if self.state.stale(now) and now - self.last_request > REQUEST_INTERVAL:
+            self.last_request = now
+            self.request_knowledge()
+
+    def request_knowledge(self) -> None:
+        """Ask some connected nodes for newer knowledge."""
+        open_links = [link for link in self.links.values() if link.established]
         self.rng.shuffle(open_links)
-        for link in open_links[:ASKED]:
-            link.ask()
+        for link in open_links[:REQUEST_PEERS]:
+            link.request_knowledge()
 
-    def nodes(self) -> int:
-        """Return how many nodes the endpoints stand for."""
+    def node_count(self) -> int:
+        """Return the number of nodes with an endpoint, at least 1."""
         return max(1, self.state.directory.hosts())
 
     def age(self) -> float:
-        """Return the age of what is known here, in seconds."""
+        """Return the age of this node's knowledge in seconds."""
         return self.state.age(clock.now())
--- a/sequoiaspoke/sidecar/sockets.py
+++ b/sequoiaspoke/sidecar/sockets.py
@@ -1,8 +1,9 @@
-"""Connections of a sidecar, driven by the event loop's callbacks.
+"""TCP connections of a sidecar, driven by callbacks of the event loop.
 
-What has come is handed on in the turn in which the loop read it, and what is written in
-one turn leaves together. Streams that are read by a task need a future and a turn more
-for each piece: of a node's turns of the loop four in five found nothing to read.
+Received bytes are handled in the iteration of the loop that read them, and bytes
+written in one iteration are sent together. Streams that are read by a task need a
+future and another iteration for each chunk: four of five iterations of a node then
+found nothing to read.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Seconds after which a silent peer is probed, between probes, and until sent bytes
-# must be acknowledged; a dead connection is found in about two seconds.
-PROBE_AFTER, PROBE_EVERY, PROBES = 1, 1, 1
-UNACKED_MS = 2000
-# Connections that may wait to be accepted: callers that come back after a restart of
-# this node open theirs in one moment, and one that finds no place is opened again
-# after a second only.
+# Seconds until a silent peer is probed and between probes, number of probes, and
+# milliseconds within which sent bytes must be acknowledged. A dead connection is found
+# within about two seconds.
+KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, KEEPALIVE_PROBES = 1, 1, 1
+USER_TIMEOUT_MS = 2000
+# Connections that may wait to be accepted. Callers reconnect all at once after this
+# node restarts, and one that does not fit is retried only after a second.
 BACKLOG = 1024
 
 
@@ -33,7 +34,7 @@
     Attributes
     ----------
     closed : bool
-        Whether this end has been closed or the connection has ended.
+        Whether this end was closed or the connection has ended.
     """
 
     def __init__(self) -> None:
@@ -41,111 +42,111 @@
         self.closed = False
 
     def connection_made(self, transport: Any) -> None:
-        """Take the connection that stands."""
+        """Start to use an established connection."""
         self.transport = transport
-        watch_for_silence(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
         self.opened()
 
     def opened(self) -> None:
-        """Begin to use the connection."""
+        """Handle the start of the connection; does nothing by default."""
 
     def data_received(self, data: bytes) -> None:
-        """Take what came, unless this end was closed."""
+        """Handle received bytes, unless this end was closed."""
         if not self.closed:
             self.received(data)
 
     def eof_received(self) -> bool:
-        """Let the transport close: whoever stops sending has left."""
+        """Let the transport close: a peer that stops sending has left."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the end of the connection."""
-        ended_here, self.closed = self.closed, True
-        self.lost(error, ended_here)
+        """Handle the end of the connection."""
+        closed_locally, self.closed = self.closed, True
+        self.lost(error, closed_locally)
 
     @abstractmethod
     def received(self, data: bytes) -> None:
-        """Take bytes of the peer."""
+        """Handle bytes from the peer."""
 
     @abstractmethod
-    def lost(self, error: Exception | None, ended_here: bool) -> None:
-        """Take the end of the connection.
+    def lost(self, error: Exception | None, closed_locally: bool) -> None:
+        """Handle the end of the connection.
 
         Parameters
         ----------
         error : Exception or None
-            What broke the connection; None if the peer closed it.
-        ended_here : bool
+            The cause of a failure; None if the peer closed the connection.
+        closed_locally : bool
             Whether this end was closed first.
         """
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the connection has ended."""
+        """Send bytes, unless the connection is closed."""
         if not self.closed:
             assert self.transport is not None
             self.transport.write(data)
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes wait for a peer that does not read."""
+        """Return how many bytes are buffered for a peer that does not read."""
         return 0 if self.closed else self.transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """End the connection at once; what is not sent yet is dropped."""
+        """Close the connection at once and drop unsent bytes."""
         if not self.closed:
             self.closed = True
             self.transport.abort()
 
 
 class ConnectionServer(ABC):
-    """Accepts connections on some addresses."""
+    """Accepts connections on one or more addresses."""
 
     def __init__(self) -> None:
-        self.listening: list[socket.socket] = []
-        self.opening: list[asyncio.Task[None]] = []
+        self.listeners: list[socket.socket] = []
+        self.accept_tasks: list[asyncio.Task[None]] = []
         self.servers: list[asyncio.AbstractServer] = []
 
     @abstractmethod
-    def connection(self) -> Connection:
-        """Return what serves the next connection."""
+    def new_connection(self) -> Connection:
+        """Return the protocol object that serves the next connection."""
 
     def listen(self, host: str, port: int) -> None:
-        """Open an address; raise AddressInUseError."""
+        """Listen on an address; raise AddressInUseError."""
         try:
-            listening = socket.create_server((host, port), backlog=BACKLOG)
+            listener = socket.create_server((host, port), backlog=BACKLOG)
         except OSError as error:
             raise AddressInUseError(f"{host}:{port}: {error}") from error
-        self.add_sockets([listening])
+        self.add_sockets([listener])
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept connections on sockets that listen."""
-        for listening in sockets:
-            listening.setblocking(False)
-            self.listening.append(listening)
-            self.opening.append(asyncio.ensure_future(self.accept_on(listening)))
-
-    async def accept_on(self, listening: socket.socket) -> None:
-        """Have the loop accept connections."""
+        """Accept connections on listening sockets."""
+        for listener in sockets:
+            listener.setblocking(False)
+            self.listeners.append(listener)
+            self.accept_tasks.append(asyncio.ensure_future(self.accept_on(listener)))
+
+    async def accept_on(self, listener: socket.socket) -> None:
+        """Have the event loop accept connections on a listening socket."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            self.connection, sock=listening, backlog=BACKLOG
+            self.new_connection, sock=listener, backlog=BACKLOG
         )
         self.servers.append(server)
 
     def stop(self) -> None:
-        """Accept no more connections; those that stand go on."""
-        for task in self.opening:
+        """Accept no more connections; open ones are not closed."""
+        for task in self.accept_tasks:
             task.cancel()
         for server in self.servers:
             server.close()
-        for listening in self.listening:
-            # Also those that the loop does not know yet.
-            listening.close()
+        for listener in self.listeners:
+            # Includes those that the loop has not started to accept on.
+            listener.close()
 
 
-def watch_for_silence(sock: socket.socket) -> None:
-    """Have the kernel find a connection that went silent for good."""
+def enable_keepalive(sock: socket.socket) -> None:
+    """Have the kernel detect a connection whose peer is gone."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -1,9 +1,9 @@
-"""Share what is known of the platform between the nodes of a zone.
+"""Share knowledge of the platform between the nodes of a zone.
 
 Two nodes of each zone read the store (`core/mesh/reading.py`); the others subscribe to
-both. A reader tells each change, and each confirmation by the store that there was
-none. A subscriber takes from either whatever is newer than what it knows, so that
-nothing is lost when one of them dies, falls behind or is cut off.
+both. A reader sends each change, and each confirmation by the store that there was
+none. A subscriber applies whatever is newer than what it knows, from either reader, so
+that nothing is lost when one of them dies, falls behind or is cut off.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.frames import Prepared
+from sequoiaspoke.sidecar.frames import SharedFrame
 from sequoiaspoke.sidecar.gossip import Gossip
-from sequoiaspoke.sidecar.wireknowledge import pack, unpack
+from sequoiaspoke.sidecar.wireknowledge import pack_knowledge, unpack_knowledge
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
 if TYPE_CHECKING:
@@ -23,54 +23,56 @@
 
     from sequoiaspoke.core.mesh.reading import ReadingDuty
     from sequoiaspoke.sidecar.crashnews import CrashNews
-    from sequoiaspoke.sidecar.frames import Frames
+    from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.peers import Peers
     from sequoiaspoke.sidecar.state import MeshState
 
-# Seconds after which a reader tells of a new configuration also those whose first
-# reader is another: that one may be dead, or its link full.
-SECOND_AFTER = 0.5
-# Routes of a change that is told by one reader first; fewer are some 3 KB, which all
-# nodes of a zone are told twice within a quarter of a second on a link of 2.5 Mbit/s.
-LARGE_CHANGE = 200
-# Seconds by which an answer must be newer to be worth its bytes.
-WORTHWHILE_SECONDS = 0.5
+# Seconds after which a reader sends a new configuration also to subscribers whose
+# first reader is the other one: that one may be dead, or its link saturated.
+SECOND_READER_DELAY = 0.5
+# A change of more routes than this is sent by one reader first. A smaller one has some
+# 3 KB, which reaches all nodes of a zone twice within a quarter of a second on a link
+# of 2.5 Mbit/s.
+LARGE_CHANGE_ROUTES = 200
+# Seconds by which knowledge must be newer than the asking node's to be sent.
+MIN_AGE_GAIN = 0.5
 
 
 @dataclass
 class Subscriber:
-    """A node that is told every change, and what it was told so far.
+    """A node that is sent every change, and what it was sent so far.
 
     Attributes
     ----------
     first : bool
-        Whether it is told of a new configuration at once.
-    serial, version, rates_told, evacuations_told : int
-        The counts of changes that it was told, and the configuration it has.
+        Whether it is sent a new configuration at once.
+    serial, version, rates_serial, evacuations_serial : int
+        The serials of the changes that it was sent, and the version of the
+        configuration that it has.
     confirmed : float
-        The last confirmation by the store that it was told.
+        Time of the last confirmation by the store that it was sent.
     """
 
-    frames: Frames
+    stream: FrameStream
     version: int
     first: bool = True
     serial: int = 0
-    rates_told: int = 0
-    evacuations_told: int = 0
+    rates_serial: int = 0
+    evacuations_serial: int = 0
     confirmed: float = float("-inf")
 
 
 class Spread(Gossip):
-    """What this node tells others of the platform and learns from them.
+    """Exchanges knowledge of the platform with the nodes of the zone.
 
     Attributes
     ----------
-    holding_back : bool
-        Whether a subscriber was not told of the newest configuration yet.
-    tellers : dict of str to LinkClient
-        The links on which this node has subscribed.
+    config_deferred : bool
+        Whether a subscriber was not sent the newest configuration yet.
+    reader_links : dict of str to LinkClient
+        The links on which this node has subscribed, by host.
     """
 
     def __init__(self, state: MeshState, duty: ReadingDuty, log: EventLog) -> None:
@@ -78,200 +80,210 @@
         self.duty = duty
         self.log = log
         self.subscribers: list[Subscriber] = []
-        self.holding_back = False
-        self.tellers: dict[str, LinkClient] = {}
-        self.told_holding = (0, "")
+        self.config_deferred = False
+        self.reader_links: dict[str, LinkClient] = {}
+        self.announced = (0, "")
         self.crash_news: CrashNews | None = None
 
     def uninformed(self) -> bool:
-        """Return whether this node knows nothing yet."""
+        """Return whether this node's knowledge is still incomplete."""
         return not self.state.complete
 
-    # As one who knows.
+    # Sending.
 
     def answer(self, ask: wire.Ask) -> wire.Knowledge | None:
-        """Return what this node knows, or None if that is no use to the other."""
+        """Return what this node knows, or None if that is of no use to the other."""
         state = self.state
         now = clock.now()
         if not state.complete:
             return None
         newer = state.version > ask.config_version
-        if not newer and state.age(now) > ask.age - WORTHWHILE_SECONDS:
+        if not newer and state.age(now) > ask.age - MIN_AGE_GAIN:
             return None
-        return pack(state.knowledge(0, ask.config_version))
+        return pack_knowledge(state.knowledge(0, ask.config_version))
 
-    def subscribe(self, frames: Frames, subscribe: wire.Subscribe) -> None:
-        """Tell another node what is known and every change from now on."""
-        kept = [each for each in self.subscribers if each.frames is not frames]
-        new = Subscriber(frames, subscribe.config_version, subscribe.first)
+    def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
+        """Send another node what is known, and every change from now on."""
+        kept = [each for each in self.subscribers if each.stream is not stream]
+        new = Subscriber(stream, subscribe.config_version, subscribe.first)
         self.subscribers = [*kept, new]
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
-            # Others read for this zone from now on, maybe.
+            # The readers of the zone have changed.
             self.state.changed()
         if self.crash_news is not None:
-            self.crash_news.tell_all(frames.send)
+            self.crash_news.tell_all(stream.send)
         self.publish()
 
-    def take_crashes(
+    def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
-        """Take news of crashes, or a question for them."""
+        """Handle crash reports, or a request for them."""
         if self.crash_news is not None:
             self.crash_news.take(message, reply)
 
-    def holds(self, frames: Frames, holds: wire.Holds) -> None:
-        """Note what a subscriber has by now."""
+    def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
+        """Record which version of the configuration a subscriber has."""
         for each in self.subscribers:
-            if each.frames is frames:
+            if each.stream is stream:
                 each.version = max(each.version, holds.config_version)
                 each.first = holds.first
 
     def tick(self, now: float) -> None:
-        """Tell those whose first reader has not told them of a configuration."""
-        if self.holding_back and not self.holds_back(now):
+        """Send a deferred configuration once its delay is over."""
+        if self.config_deferred and not self.defers_config(now):
             self.publish()
 
-    def holds_back(self, now: float) -> bool:
-        """Return whether the newest configuration goes to a half of the zone only."""
-        large = self.state.history.changed_routes > LARGE_CHANGE
-        return large and now - self.state.installed < SECOND_AFTER
+    def defers_config(self, now: float) -> bool:
+        """Return whether the newest configuration goes to some subscribers only."""
+        large = self.state.history.changed_routes > LARGE_CHANGE_ROUTES
+        return large and now - self.state.installed < SECOND_READER_DELAY
 
     def publish(self) -> None:
-        """Tell the subscribers what they have not been told."""
+        """Send the subscribers what they have not been sent yet."""
         state = self.state
-        self.tell_held()
-        self.subscribers = [each for each in self.subscribers if not each.frames.closed]
+        self.announce_version()
+        self.subscribers = [each for each in self.subscribers if not each.stream.closed]
         if not state.complete:
             return
-        # Most have been told the same, and packing is the dear part.
-        packed: dict[tuple[int, int, int, int], Prepared] = {}
+        # Most subscribers lack the same, and packing is the expensive part.
+        packed: dict[tuple[int, int, int, int], SharedFrame] = {}
         now = clock.now()
-        holds_back = self.holds_back(now)
-        self.holding_back = False
+        defers_config = self.defers_config(now)
+        self.config_deferred = False
         for each in self.subscribers:
             lacks_config = each.version < state.version
-            held_back = lacks_config and holds_back and not each.first
-            self.holding_back |= held_back
-            base = each.version if lacks_config and not held_back else state.version
-            news = each.serial != state.directory.serial or base != state.version
-            news |= each.rates_told != self.duty.rates_learnt
-            news |= each.evacuations_told != state.evacuations.serial
-            if not news and each.confirmed >= state.read_at:
+            deferred = lacks_config and defers_config and not each.first
+            self.config_deferred |= deferred
+            base = each.version if lacks_config and not deferred else state.version
+            changed = each.serial != state.directory.serial or base != state.version
+            changed |= each.rates_serial != self.duty.rates_learnt
+            changed |= each.evacuations_serial != state.evacuations.serial
+            if not changed and each.confirmed >= state.read_at:
                 continue
-            has = (each.serial, base, each.rates_told, each.evacuations_told)
-            if has not in packed:
-                packed[has] = Prepared(self.frame_since(*has))
+            key = (each.serial, base, each.rates_serial, each.evacuations_serial)
+            if key not in packed:
+                packed[key] = SharedFrame(self.frame_since(*key))
             each.serial = state.directory.serial
-            each.rates_told = self.duty.rates_learnt
-            each.evacuations_told = state.evacuations.serial
-            if not held_back:
+            each.rates_serial = self.duty.rates_learnt
+            each.evacuations_serial = state.evacuations.serial
+            if not deferred:
                 each.version = max(each.version, state.version)
             each.confirmed = state.read_at
-            each.frames.send_prepared(packed[has])
+            each.stream.send_shared(packed[key])
 
     def frame_since(
-        self, serial: int, version: int, rates_told: int, evacuations_told: int
+        self, serial: int, version: int, rates_serial: int, evacuations_serial: int
     ) -> wire.Frame:
-        """Return the frame that tells what is new since some counts and a version.
+        """Return the frame for what is new since some serials and a version.
 
-        Mostly there is nothing but the store's word that it is so, which a subscriber
-        hears twice a second.
+        Mostly that is only a confirmation by the store that nothing has changed, which
+        each subscriber is sent twice a second.
         """
         state = self.state
-        same = (serial, version) == (state.directory.serial, state.version)
-        same &= evacuations_told == state.evacuations.serial
-        same_rates = rates_told == self.duty.rates_learnt
-        if same and same_rates and serial and not state.directory.lapses.vanished:
+        unchanged = (serial, version) == (state.directory.serial, state.version)
+        unchanged &= evacuations_serial == state.evacuations.serial
+        rates_unchanged = rates_serial == self.duty.rates_learnt
+        if (
+            unchanged
+            and rates_unchanged
+            and serial
+            and not state.directory.lapses.vanished
+        ):
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
-        knowledge = pack(state.knowledge(serial, version))
-        if not same_rates:
+        knowledge = pack_knowledge(state.knowledge(serial, version))
+        if not rates_unchanged:
             knowledge.link_rates = self.duty.reader_rates
         return wire.Frame(knowledge=knowledge)
 
-    # As one who learns.
+    # Receiving.
 
-    def ask(self) -> wire.Ask:
-        """Return the question for what another node knows better."""
+    def knowledge_request(self) -> wire.Ask:
+        """Return the request for newer knowledge of another node."""
         age = min(self.state.age(clock.now()), 1e6)
         return wire.Ask(self.state.version, age)
 
-    def learn(self, knowledge: wire.Knowledge, ahead: float) -> bool:
-        """Take what another node knows; return False if it has to tell all of it.
+    def learn(self, knowledge: wire.Knowledge, clock_offset: float) -> bool:
+        """Apply knowledge of another node; return False if all of it is needed.
 
         Parameters
         ----------
-        ahead : float
-            Seconds by which the other node's clock is ahead of this one's. What it
-            tells may have been on its way for seconds, through a link that was cut or
-            full; by its age at the time of sending it would be taken for fresh.
+        clock_offset : float
+            Seconds by which the other node's clock is ahead of this one's. Knowledge
+            may be on its way for seconds, on a link that was cut or saturated; if it
+            carried its age at the time of sending, it would be taken for fresh.
         """
         now = clock.now()
         self.duty.learn_rates(knowledge.link_rates or {})
-        told = unpack(knowledge, ahead)
+        received = unpack_knowledge(knowledge, clock_offset)
         age = self.state.age(now)
-        if self.state.stale(now) and told.as_of > self.state.as_of:
+        if self.state.stale(now) and received.as_of > self.state.as_of:
             self.log.event(
                 "learnt-from-node",
-                age=f"{now - told.as_of:.2f}",
+                age=f"{now - received.as_of:.2f}",
                 before=f"{age:.2f}",
-                revision=told.revision,
+                revision=received.revision,
             )
         try:
-            self.state.learn(told)
+            self.state.learn(received)
         except KeyError:
-            # Its change goes out from a version that this node never had.
+            # The delta has a base version that this node never had.
             return False
-        self.duty.heard(told.as_of)
+        self.duty.heard(received.as_of)
         return True
 
-    def confirmed(self, confirmed: wire.Confirmed, ahead: float) -> None:
-        """Take a reader's word that it has read nothing since it last told."""
-        as_of, answered_at = confirmed.as_of - ahead, confirmed.answered_at - ahead
+    def handle_confirmation(
+        self, confirmed: wire.Confirmed, clock_offset: float
+    ) -> None:
+        """Apply a reader's confirmation that nothing has changed."""
+        as_of, answered_at = (
+            confirmed.as_of - clock_offset,
+            confirmed.answered_at - clock_offset,
+        )
         self.state.heard_of_store(answered_at)
         self.state.learn(Knowledge(confirmed.revision, as_of))
         self.duty.heard(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
-        """Subscribe to a reader whose link stands anew."""
+        """Subscribe to a reader whose link was established."""
         self.duty.link_up(link.address[0])
         if link.address[0] in self.duty.readers:
             self.subscribe_to(link)
 
     def link_down(self, link: LinkClient) -> None:
-        """Reckon without a reader whose link has ended."""
-        self.tellers.pop(link.address[0], None)
+        """Drop the subscription to a reader whose link has ended."""
+        self.reader_links.pop(link.address[0], None)
         self.duty.link_down(link.address[0])
 
     def subscribe_to(self, link: LinkClient) -> None:
-        """Ask a reader for every change from now on."""
+        """Subscribe to a reader."""
         host = link.address[0]
-        self.tellers[host] = link
+        self.reader_links[host] = link
         first = host == self.duty.first_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
         if self.crash_news is not None:
             self.crash_news.tell_all(link.send)
 
-    def tell_held(self) -> None:
-        """Tell the readers which configuration this node has, if that is news to them.
+    def announce_version(self) -> None:
+        """Tell the readers which configuration this node has, if that has changed.
 
-        The one that is not to tell it first need not tell it at all then.
+        The second reader then need not send it at all.
         """
-        holding = (self.state.version, self.duty.first_reader)
-        if holding == self.told_holding:
+        current = (self.state.version, self.duty.first_reader)
+        if current == self.announced:
             return
-        self.told_holding = holding
-        for host, link in self.tellers.items():
-            link.tell_held(self.state.version, host == self.duty.first_reader)
+        self.announced = current
+        for host, link in self.reader_links.items():
+            link.announce_version(self.state.version, host == self.duty.first_reader)
 
     def follow_readers(self, peers: Peers) -> None:
-        """Keep links to the zone's readers and subscribe to those that are new."""
+        """Keep links to the zone's readers, and subscribe to new ones."""
         own = peers.identity.host
         readers = {host for host in self.duty.readers if host != own}
-        for host in self.tellers.keys() - readers:
-            del self.tellers[host]
-        for host in sorted(readers - peers.followed):
+        for host in self.reader_links.keys() - readers:
+            del self.reader_links[host]
+        for host in sorted(readers - peers.reader_hosts):
             link = peers.link(host)
-            if link.greeted:
+            if link.established:
                 self.subscribe_to(link)
-        peers.followed = readers
+        peers.reader_hosts = readers
