--- a/sequoiaspoke/core/mesh/grouping.py
+++ b/sequoiaspoke/core/mesh/grouping.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.held import NOBODY, Group
+from sequoiaspoke.core.mesh.records import EMPTY_GROUP, EndpointGroup
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.mesh.held import Held
     from sequoiaspoke.core.mesh.model import Endpoint
+    from sequoiaspoke.core.mesh.records import EndpointRecord
 
 # Count of changes at which no grouping was made yet.
-NEVER = -1
+NOT_BUILT = -1
 
 
 class Grouping:
@@ -21,35 +21,37 @@
 
     Attributes
     ----------
-    closed_zones : frozenset of str
+    excluded_zones : frozenset of str
         Zones whose endpoints get no new calls.
     """
 
     def __init__(self) -> None:
-        self.closed_zones: frozenset[str] = frozenset()
-        self.services: dict[str, Group] = {}
+        self.excluded_zones: frozenset[str] = frozenset()
+        self.services: dict[str, EndpointGroup] = {}
         self.hosts: dict[str, tuple[Endpoint, ...]] = {}
-        self.made_at = NEVER
+        self.built_at = NOT_BUILT
 
-    def close_zones(self, zones: frozenset[str]) -> None:
+    def exclude_zones(self, zones: frozenset[str]) -> None:
         """Choose no endpoints of some zones, and those of all others again."""
-        self.closed_zones = zones
-        self.made_at = NEVER
+        self.excluded_zones = zones
+        self.built_at = NOT_BUILT
 
-    def refresh(self, held: dict[str, Held], serial: int) -> None:
+    def refresh(self, records: dict[str, EndpointRecord], serial: int) -> None:
         """Group anew if any endpoint has changed since the last time."""
-        if self.made_at == serial:
+        if self.built_at == serial:
             return
-        self.made_at = serial
+        self.built_at = serial
         services: dict[str, list[Endpoint]] = {}
         hosts: dict[str, list[Endpoint]] = {}
-        for each in held.values():
+        for each in records.values():
             hosts.setdefault(each.endpoint.host, []).append(each.endpoint)
-            if each.chosen and each.endpoint.zone not in self.closed_zones:
+            if each.takes_calls and each.endpoint.zone not in self.excluded_zones:
                 services.setdefault(each.endpoint.service, []).append(each.endpoint)
-        self.services = {name: Group.of(group) for name, group in services.items()}
+        self.services = {
+            name: EndpointGroup.of(group) for name, group in services.items()
+        }
         self.hosts = {host: tuple(group) for host, group in hosts.items()}
 
-    def service(self, name: str) -> Group:
+    def service(self, name: str) -> EndpointGroup:
         """Return the endpoints of a service that take new calls."""
-        return self.services.get(name, NOBODY)
+        return self.services.get(name, EMPTY_GROUP)
--- a/sequoiaspoke/core/mesh/lapses.py
+++ b/sequoiaspoke/core/mesh/lapses.py
@@ -17,7 +17,7 @@
 # from which the store is taken to have been away: upstreams report each 1.5 s and lapse
 # after three reports that were missed, so that a shorter absence lapses none. A
 # node that alone was cut off hears the others' confirmations all the while.
-LAPSE_GAP = 2.0
+OUTAGE_GAP = 2.0
 
 
 class Lapses:
@@ -27,35 +27,35 @@
     ----------
     outage : bool
         Whether the store does not answer.
-    returned : float
+    recovered_at : float
         When it was last back after it had been away.
-    until : dict of str to float
+    kept_until : dict of str to float
         When to give up on each entry, by instance.
-    vanished : dict of str to int
+    vanished_at : dict of str to int
         Revision at which each of them vanished.
     """
 
     def __init__(self) -> None:
         self.outage = False
-        self.returned = float("-inf")
-        self.until: dict[str, float] = {}
-        self.vanished: dict[str, int] = {}
+        self.recovered_at = float("-inf")
+        self.kept_until: dict[str, float] = {}
+        self.vanished_at: dict[str, int] = {}
 
     def keep(self, instance: str, revision: int, now: float) -> None:
         """Keep an entry that has vanished for a while."""
-        self.until.setdefault(instance, self.grace_end(now))
-        self.vanished[instance] = revision
+        self.kept_until.setdefault(instance, self.grace_end(now))
+        self.vanished_at[instance] = revision
 
     def drop(self, instance: str) -> None:
         """Forget an entry that is there again or gone for good."""
-        self.until.pop(instance, None)
-        self.vanished.pop(instance, None)
+        self.kept_until.pop(instance, None)
+        self.vanished_at.pop(instance, None)
 
-    def lost_store(self) -> None:
+    def store_lost(self) -> None:
         """Note that the store does not answer."""
         self.outage = True
 
-    def reached_store(self, now: float, gap: float = float("inf")) -> None:
+    def store_reached(self, now: float, gap: float = float("inf")) -> None:
         """Note that the store answers.
 
         Parameters
@@ -63,25 +63,25 @@
         gap : float
             Seconds since it was last known to answer anybody.
         """
-        away = gap > LAPSE_GAP
-        if not (self.outage or away):
+        was_away = gap > OUTAGE_GAP
+        if not (self.outage or was_away):
             return
         self.outage = False
-        if away:
-            self.returned = now
-        for instance in self.until:
-            self.until[instance] = now + LAPSE_GRACE if away else now
+        if was_away:
+            self.recovered_at = now
+        for instance in self.kept_until:
+            self.kept_until[instance] = now + LAPSE_GRACE if was_away else now
 
-    def unwell(self, now: float) -> bool:
+    def removals_unreliable(self, now: float) -> bool:
         """Return whether a missing entry says little."""
-        return self.outage or now < self.returned + LAPSE_GRACE
+        return self.outage or now < self.recovered_at + LAPSE_GRACE
 
     def grace_end(self, now: float) -> float:
         """Return until when an entry that vanishes now stays."""
         if self.outage:
             return float("inf")
-        return max(now, self.returned + LAPSE_GRACE)
+        return max(now, self.recovered_at + LAPSE_GRACE)
 
     def due(self, now: float) -> list[str]:
         """Return the instances that stayed long enough."""
-        return [name for name, until in self.until.items() if until <= now]
+        return [name for name, until in self.kept_until.items() if until <= now]
--- a/sequoiaspoke/core/mesh/leavers.py
+++ b/sequoiaspoke/core/mesh/leaving.py
@@ -15,30 +15,34 @@
 LEAVING_QUEUE_SECONDS = 1.2
 
 
-class Leavers:
+class LeavingUpstreams:
     """Since when this node knows that upstreams leave for which calls wait.
 
     Parameters
     ----------
-    left : callable
+    is_leaving : callable
         Tells whether a start of an upstream drains or has left.
     """
 
-    def __init__(self, left: Callable[[Incarnation], bool]) -> None:
-        self.left = left
-        self.since: dict[Incarnation, float] = {}
+    def __init__(self, is_leaving: Callable[[Incarnation], bool]) -> None:
+        self.is_leaving = is_leaving
+        self.leaving_since: dict[Incarnation, float] = {}
 
-    def overdue(self, starts: Iterable[Incarnation], now: float) -> set[Incarnation]:
+    def overdue(
+        self, incarnations: Iterable[Incarnation], now: float
+    ) -> set[Incarnation]:
         """Return those of some starts that have been leaving for too long."""
-        self.since = {
-            start: self.since.get(start, now) for start in starts if self.left(start)
+        self.leaving_since = {
+            incarnation: self.leaving_since.get(incarnation, now)
+            for incarnation in incarnations
+            if self.is_leaving(incarnation)
         }
         return {
-            start
-            for start, since in self.since.items()
+            incarnation
+            for incarnation, since in self.leaving_since.items()
             if now - since > LEAVING_QUEUE_SECONDS
         }
 
     def clear(self) -> None:
         """Forget the starts, as no call waits."""
-        self.since.clear()
+        self.leaving_since.clear()
--- a/sequoiaspoke/core/mesh/held.py
+++ b/sequoiaspoke/core/mesh/records.py
@@ -14,13 +14,13 @@
 
 
 @dataclass(frozen=True)
-class Held(Published):
+class EndpointRecord(Published):
     """What is known of a published endpoint here."""
 
     cold_until: float = 0.0
 
     @property
-    def chosen(self) -> bool:
+    def takes_calls(self) -> bool:
         """Return whether it takes new calls."""
         return self.readable and not self.endpoint.draining
 
@@ -32,28 +32,28 @@
         returns = self.endpoint.draining and not endpoint.draining
         return revision > self.revision and not returns
 
-    def cold_left(self, now: float) -> float:
+    def cold_remaining(self, now: float) -> float:
         """Return how many more seconds the endpoint stays slow."""
         return max(0.0, self.cold_until - now)
 
 
 @dataclass(frozen=True)
-class Left:
+class DepartureRecord:
     """A departure and when it was learnt."""
 
     departure: Departure
-    when: float
+    learned_at: float
 
 
 @dataclass(frozen=True)
-class Group:
+class EndpointGroup:
     """The endpoints of a service that take new calls."""
 
     endpoints: tuple[Endpoint, ...] = ()
     by_zone: dict[str, tuple[Endpoint, ...]] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, endpoints: Iterable[Endpoint]) -> Group:
+    def of(cls, endpoints: Iterable[Endpoint]) -> EndpointGroup:
         """Return endpoints as a group."""
         found = tuple(endpoints)
         zones = {endpoint.zone for endpoint in found}
@@ -65,4 +65,4 @@
         return self.by_zone.get(zone, ())
 
 
-NOBODY = Group()
+EMPTY_GROUP = EndpointGroup()
--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -170,7 +170,7 @@
             service = self.state.table.config.services.get(self.settings.service)
             if service is not None:
                 self.home.cold_watch.take_service(service, self.settings.cold)
-        own = self.state.directory.at(*self.settings.upstream)
+        own = self.state.directory.at_address(*self.settings.upstream)
         if own is not None:
             self.home.take_endpoint(own)
         zone = self.settings.zone
@@ -187,7 +187,7 @@
         self.spread.follow_readers(self.peers)
         self.peers.refresh()
         starts = (
-            held.endpoint.incarnation for held in self.state.directory.held.values()
+            held.endpoint.incarnation for held in self.state.directory.records.values()
         )
         self.entry.attempts.placing.retain(starts)
 
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -76,7 +76,7 @@
         return self.placing.choose(
             progress.route,
             self.candidates(progress),
-            lambda instance: directory.cold(instance, now),
+            lambda instance: directory.is_cold(instance, now),
             now,
             progress.on_time - now,
         )
@@ -122,7 +122,7 @@
         directory = self.state.directory
         if progress.tried or directory.serving(progress.service):
             return "no-endpoint"
-        return "zones-evacuated" if directory.grouping.closed_zones else "no-endpoint"
+        return "zones-evacuated" if directory.grouping.excluded_zones else "no-endpoint"
 
     def others_left(self, progress: Progress) -> bool:
         """Return whether there is an endpoint that a call was not tried at."""
--- a/sequoiaspoke/sidecar/changelog.py
+++ b/sequoiaspoke/sidecar/changelog.py
@@ -55,10 +55,10 @@
     log: EventLog, directory: Directory, before: frozenset[str], source: str
 ) -> None:
     """Log the zones that were evacuated and taken back."""
-    zones = directory.grouping.closed_zones
+    zones = directory.grouping.excluded_zones
     for zone in sorted(zones - before):
         # There are none if nobody knows a zone of that name.
-        held = directory.held.values()
+        held = directory.records.values()
         endpoints = sum(each.endpoint.zone == zone for each in held)
         log.event("zone-evacuated", zone=zone, endpoints=endpoints, source=source)
     for zone in sorted(before - zones):
--- a/sequoiaspoke/sidecar/coldwatch.py
+++ b/sequoiaspoke/sidecar/coldwatch.py
@@ -16,8 +16,8 @@
     from collections.abc import Callable
 
     from sequoiaspoke.core.mesh.coldstart import ColdLimits, ColdStart
-    from sequoiaspoke.core.mesh.held import Held
     from sequoiaspoke.core.mesh.model import Service
+    from sequoiaspoke.core.mesh.records import EndpointRecord
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.upstream import Upstream
 
@@ -58,7 +58,7 @@
         self.service = service
         self.state.most = limits.most(service.cold_rate)
 
-    def take_entry(self, held: Held) -> None:
+    def take_entry(self, held: EndpointRecord) -> None:
         """Take what the upstream's entry says, once for each report."""
         if held.revision != self.entry_revision:
             self.entry_revision = held.revision
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.mesh.admission import Admission, Arrival, Refused, Turned
-from sequoiaspoke.core.mesh.leavers import Leavers
+from sequoiaspoke.core.mesh.leaving import LeavingUpstreams
 from sequoiaspoke.core.mesh.ledger import Ledger
 from sequoiaspoke.core.mesh.outcome import (
     RESET_AT_ONCE,
@@ -84,7 +84,7 @@
         self.incarnation: Incarnation | None = None
         self.load: Load | None = None
         self.down_watch = DownWatch(log)
-        self.leavers = Leavers(directory.left)
+        self.leavers = LeavingUpstreams(directory.is_leaving)
         self.counts: Counter[str] = Counter()
 
     def submit(
@@ -140,7 +140,7 @@
         if self.evacuated:
             self.counts[Turned.ZONE_EVACUATED] += 1
             return NotRun(Turned.ZONE_EVACUATED, EVACUATED_SECONDS)
-        if self.directory.left(call.incarnation):
+        if self.directory.is_leaving(call.incarnation):
             return NotRun(Turned.INSTANCE_LEFT)
         held = self.held_seconds(call)
         if held:
@@ -384,7 +384,7 @@
             # a process that is gone: an order sent on it would be lost to its reset.
             self.admission.restarted()
             self.upstream.forget_connections()
-        held = self.directory.held.get(endpoint.instance)
+        held = self.directory.records.get(endpoint.instance)
         if held is not None:
             self.cold_watch.take_entry(held)
         if endpoint.slots != self.admission.upstream.published:
--- a/sequoiaspoke/sidecar/metrics.py
+++ b/sequoiaspoke/sidecar/metrics.py
@@ -82,7 +82,7 @@
             "waiting": lambda: home.admission.waiting,
             "config_version": lambda: state.version,
             "state_age_seconds": lambda: state.age(clock.now()),
-            "endpoints": lambda: len(state.directory.held),
+            "endpoints": lambda: len(state.directory.records),
             "evacuated": lambda: int(home.evacuated),
             "evacuated_zones": lambda: len(state.evacuations.zones),
             "cold": lambda: int(home.admission.cold_start.cold(clock.now())),
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -131,7 +131,7 @@
 
     def nodes(self) -> int:
         """Return how many nodes the endpoints stand for."""
-        return max(1, self.state.directory.hosts())
+        return max(1, self.state.directory.host_count())
 
     def age(self) -> float:
         """Return the age of what is known here, in seconds."""
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -181,7 +181,7 @@
         same = (serial, version) == (state.directory.serial, state.version)
         same &= evacuations_told == state.evacuations.serial
         same_rates = rates_told == self.duty.rates_learnt
-        if same and same_rates and serial and not state.directory.lapses.vanished:
+        if same and same_rates and serial and not state.directory.lapses.vanished_at:
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
         knowledge = pack(state.knowledge(serial, version))
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -96,7 +96,7 @@
         Counted in, two such would be taken for the readers of a zone, and nobody
         would read for it.
         """
-        held = [each.endpoint for each in self.directory.held.values()]
+        held = [each.endpoint for each in self.directory.records.values()]
         if self.table is None:
             return held
         services = self.table.config.services
@@ -105,7 +105,7 @@
     @property
     def complete(self) -> bool:
         """Return whether calls can be decided at all."""
-        return self.table is not None and bool(self.directory.held)
+        return self.table is not None and bool(self.directory.records)
 
     @property
     def version(self) -> int:
@@ -175,7 +175,7 @@
         known_before = self.answered_at > float("-inf")
         gap = when - self.answered_at if known_before else 0.0
         self.answered_at = max(self.answered_at, when)
-        self.directory.lapses.reached_store(when, gap)
+        self.directory.lapses.store_reached(when, gap)
 
     def store_failed(self, code: str, reason: str) -> None:
         """Note that the store cannot be read."""
@@ -183,7 +183,7 @@
         if not self.directory.lapses.outage:
             self.log.event("store-lost", code=code, reason=reason)
         self.lost_at = clock.now()
-        self.directory.lapses.lost_store()
+        self.directory.lapses.store_lost()
 
     def confirmed(self, revision: int, now: float) -> None:
         """Note up to which revision and as of when everything is known."""
@@ -223,7 +223,9 @@
             if endpoint is not None:
                 self.directory.put(endpoint, item.revision, now)
             else:
-                self.directory.obscure(self.decoder.instance(item.key), item.revision)
+                self.directory.mark_unreadable(
+                    self.decoder.instance(item.key), item.revision
+                )
 
     def take_evacuation(self, item: StoreItem) -> None:
         """Take the beginning or the end of an evacuation."""
@@ -249,16 +251,16 @@
     def apply_evacuations(self, source: str) -> None:
         """Act on the evacuations in force, and log what changed."""
         grouping, zones = self.directory.grouping, self.evacuations.zones
-        before = grouping.closed_zones
+        before = grouping.excluded_zones
         if zones != before:
-            grouping.close_zones(zones)
+            grouping.exclude_zones(zones)
             log_evacuations(self.log, self.directory, before, source)
 
     def take_removal(self, item: StoreItem, now: float) -> None:
         """Take the end of an endpoint's entry."""
         instance = self.decoder.instance(item.key)
         gone = self.directory.remove(instance, item.revision, now)
-        if not gone and instance in self.directory.lapses.until:
+        if not gone and instance in self.directory.lapses.kept_until:
             self.log.event(
                 "endpoint-missing", instance=instance, revision=item.revision
             )
@@ -315,7 +317,7 @@
             for each in knowledge.endpoints:
                 directory.put(each.endpoint, each.revision, now, True, each.readable)
         for departure in knowledge.gone:
-            directory.take_departure(departure, now)
+            directory.apply_departure(departure, now)
         for departure in knowledge.lapsing:
             directory.remove(departure.instance, departure.revision, now)
         if knowledge.evacuations is not None:
@@ -346,14 +348,14 @@
             whole=serial == 0,
             endpoints=tuple(
                 Published(
-                    replace(each.endpoint, cold_seconds=each.cold_left(now)),
+                    replace(each.endpoint, cold_seconds=each.cold_remaining(now)),
                     each.revision,
                     each.readable,
                 )
                 for each in held
             ),
             gone=tuple(gone),
-            lapsing=tuple(self.directory.doubted()),
+            lapsing=tuple(self.directory.lapsing()),
             config=self.history.since(version),
             config_revision=self.config_revision,
             evacuations=tuple(self.evacuations.latest.values()),
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -39,7 +39,7 @@
         "held": held_requests(home.suspicion.quarantine, now),
         "details": {
             "age": f"{min(state.age(now), 1e6):.1f}s",
-            "endpoints": len(state.directory.held),
+            "endpoints": len(state.directory.records),
             "evacuated-zones": sorted(state.evacuations.zones),
             "suspected": len(home.suspicion.quarantine.crashes.by_request),
             "cold": f"{max(0.0, cold.cold_until - now):.1f}s",
--- a/sequoiaspoke/sidecar/suspicion.py
+++ b/sequoiaspoke/sidecar/suspicion.py
@@ -49,8 +49,8 @@
 
         One that leaves by plan ends with what still runs there; no request is to blame.
         """
-        held = self.directory.held.get(start.instance)
-        if held is None or self.directory.left(start):
+        held = self.directory.records.get(start.instance)
+        if held is None or self.directory.is_leaving(start):
             return ""
         return held.endpoint.service
 
--- a/sequoiaspoke/tests/evacuationsim.py
+++ b/sequoiaspoke/tests/evacuationsim.py
@@ -43,7 +43,7 @@
                 if item.key == EVACUATE + zone and item.revision > revision
             ]
             forgotten = self.store.forgotten > revision
-            known = zone in state.directory.grouping.closed_zones
+            known = zone in state.directory.grouping.excluded_zones
             return bool(later) or forgotten or known == expected
 
         return check
@@ -79,7 +79,7 @@
             newest = self.store.items.get(EVACUATE + zone)
             changed = (newest is not None) != expected
             return (
-                changed or (zone in state.directory.grouping.closed_zones) == expected
+                changed or (zone in state.directory.grouping.excluded_zones) == expected
             )
 
         self.checks.append(asyncio.ensure_future(self.acted_on(check)))
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -278,8 +278,8 @@
             # It may have left again by the time of the check. Where the store dropped
             # its history meanwhile, a node that read all anew never heard of it.
             return lambda state: (
-                key in state.directory.held
-                or state.directory.left(Incarnation(key))
+                key in state.directory.records
+                or state.directory.is_leaving(Incarnation(key))
                 or key not in self.store.items
             )
         if self.store.items[here[0]].value == b"0" and self.rng.random() < 0.5:
@@ -289,8 +289,8 @@
         # One that joined and left while the store dropped its history is not known as
         # gone at a node that read all anew; it is not held there and gets no calls.
         return lambda state: (
-            state.directory.left(Incarnation(here[0]))
-            or here[0] not in state.directory.held
+            state.directory.is_leaving(Incarnation(here[0]))
+            or here[0] not in state.directory.records
         )
 
     async def changes(self, seconds):
@@ -443,9 +443,9 @@
                 self.routes
             ):
                 self.problems.append(f"{host}: ended with other routes")
-            if set(state.directory.held) != expected:
+            if set(state.directory.records) != expected:
                 self.problems.append(f"{host}: ended with other endpoints")
-            if state.directory.grouping.closed_zones != zones:
+            if state.directory.grouping.excluded_zones != zones:
                 self.problems.append(f"{host}: ended with other evacuations")
 
 
--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -79,14 +79,14 @@
     def test_an_entry_that_vanishes_from_a_healthy_store_is_gone_at_once(self):
         self.assertTrue(self.directory.remove("1", 7, 1.0))
         self.assertEqual(self.serving(), {"2"})
-        self.assertTrue(self.directory.left(Incarnation("1")))
+        self.assertTrue(self.directory.is_leaving(Incarnation("1")))
 
     def test_entries_that_lapse_in_an_outage_stay_until_after_it(self):
         # The store is away, upstreams cannot report, and their entries run out. On its
         # return the store lists none. Taken at its word, every call would be refused
         # although all upstreams serve.
-        self.directory.lapses.lost_store()
-        self.directory.lapses.reached_store(10.0)
+        self.directory.lapses.store_lost()
+        self.directory.lapses.store_reached(10.0)
         self.directory.reconcile([], 9, 10.0)
         self.assertEqual(self.serving(), {"1", "2"})
         self.directory.put(endpoint("1"), 10, 11.0)
@@ -95,7 +95,7 @@
 
     def test_an_upstream_known_to_leave_does_not_stay_through_an_outage(self):
         self.directory.put(endpoint("1", draining=True), 7, 0.0)
-        self.directory.lapses.lost_store()
+        self.directory.lapses.store_lost()
         self.directory.remove("1", 8, 1.0)
         self.assertEqual(self.serving(), {"2"})
 
@@ -109,7 +109,7 @@
         self.assertEqual(self.serving(), set())
 
     def test_another_nodes_healthy_view_removes_at_once(self):
-        self.directory.lapses.lost_store()
+        self.directory.lapses.store_lost()
         self.directory.reconcile([Published(endpoint("1"), 5)], 9, 1.0, trusted=True)
         self.assertEqual(self.serving(), {"1"})
 
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -103,9 +103,9 @@
         directory = Directory()
         for zone in ("akaki", "bole"):
             directory.put(self.endpoint(zone, 1), 5, 0.0)
-        directory.grouping.close_zones(frozenset({"akaki"}))
+        directory.grouping.exclude_zones(frozenset({"akaki"}))
         self.assertEqual({e.zone for e in directory.serving("fleet")}, {"bole"})
-        directory.grouping.close_zones(frozenset())
+        directory.grouping.exclude_zones(frozenset())
         self.assertEqual(len(directory.serving("fleet")), 2)
 
     def test_an_entry_of_an_evacuated_zone_still_compares_several(self):
@@ -128,7 +128,7 @@
         self.order = StoreItem(EVACUATE + "akaki", b"{}", 5)
 
     def check(self, *zones):
-        self.assertEqual(self.state.directory.grouping.closed_zones, frozenset(zones))
+        self.assertEqual(self.state.directory.grouping.excluded_zones, frozenset(zones))
 
     def test_an_order_and_its_end_among_the_changes(self):
         self.state.take_changes(Changes((self.order,), 5))
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -46,7 +46,7 @@
         self.directory.remove("i-1", 7, 1.0)
         self.assertTrue(self.directory.put(NEW, 8, 2.0))
         self.assertEqual(self.serving(), [NEW.incarnation])
-        self.assertFalse(self.directory.left(NEW.incarnation))
+        self.assertFalse(self.directory.is_leaving(NEW.incarnation))
 
     def test_a_start_that_follows_at_once_replaces_one_that_drains(self):
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
@@ -60,7 +60,7 @@
         self.directory.put(NEW, 8, 0.0)
         for stale in (OLD, replace(OLD, draining=True)):
             self.assertFalse(self.directory.put(stale, 20, 1.0))
-            self.assertFalse(self.directory.put(stale, 21, 1.0, told=True))
+            self.assertFalse(self.directory.put(stale, 21, 1.0, from_peer=True))
         self.directory.reconcile([Published(OLD, 22)], 30, 1.0, trusted=True)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
@@ -68,21 +68,21 @@
         # A node that was suspended tells what it knew: the earlier start, and its end.
         self.directory.remove("i-1", 7, 0.0)
         self.directory.put(NEW, 8, 0.0)
-        self.assertFalse(self.directory.put(OLD, 5, 9.0, told=True))
-        self.directory.take_departure(Departure("i-1", FIRST, 7, True), 9.0)
+        self.assertFalse(self.directory.put(OLD, 5, 9.0, from_peer=True))
+        self.directory.apply_departure(Departure("i-1", FIRST, 7, True), 9.0)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
     def test_the_later_start_is_taken_also_with_a_lower_revision(self):
         # This node read the store while a late report of the earlier start stood there.
         # Another has seen the later start before and tells it.
         self.directory.put(OLD, 20, 0.0)
-        self.assertTrue(self.directory.put(NEW, 18, 1.0, told=True))
+        self.assertTrue(self.directory.put(NEW, 18, 1.0, from_peer=True))
         self.assertEqual(self.serving(), [NEW.incarnation])
 
     def test_a_later_start_whose_end_was_seen_is_not_brought_back(self):
         # The end of an entry names no start: it ends all that was written before it.
         self.directory.remove("i-1", 12, 0.0)
-        self.assertFalse(self.directory.put(NEW, 9, 1.0, told=True))
+        self.assertFalse(self.directory.put(NEW, 9, 1.0, from_peer=True))
         self.assertEqual(self.serving(), [])
 
     def test_a_start_that_drained_is_not_brought_back_by_its_last_report(self):
@@ -99,25 +99,25 @@
 
     def test_what_another_node_knew_of_the_end_counts_here_too(self):
         # This node never heard that the start drains; another did and tells the end.
-        self.directory.take_departure(Departure("i-1", FIRST, 7, True), 1.0)
+        self.directory.apply_departure(Departure("i-1", FIRST, 7, True), 1.0)
         self.assertFalse(self.directory.put(OLD, 9, 2.0))
         self.assertTrue(self.directory.put(NEW, 10, 2.0))
 
     def test_calls_to_the_start_before_may_run_at_the_later_one(self):
         # A call that was sent to the earlier start and has not run need not go back.
         self.directory.put(NEW, 8, 0.0)
-        self.assertFalse(self.directory.left(OLD.incarnation))
+        self.assertFalse(self.directory.is_leaving(OLD.incarnation))
         self.directory.put(replace(NEW, draining=True), 9, 0.0)
-        self.assertTrue(self.directory.left(OLD.incarnation))
-        self.assertTrue(self.directory.left(NEW.incarnation))
+        self.assertTrue(self.directory.is_leaving(OLD.incarnation))
+        self.assertTrue(self.directory.is_leaving(NEW.incarnation))
 
     def test_a_home_that_lags_does_not_turn_the_later_start_away(self):
         # The entry knows of the later start, its home only that the earlier one drains.
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
-        self.assertTrue(self.directory.left(OLD.incarnation))
-        self.assertFalse(self.directory.left(NEW.incarnation))
+        self.assertTrue(self.directory.is_leaving(OLD.incarnation))
+        self.assertFalse(self.directory.is_leaving(NEW.incarnation))
         self.directory.remove("i-1", 7, 0.0)
-        self.assertFalse(self.directory.left(NEW.incarnation))
+        self.assertFalse(self.directory.is_leaving(NEW.incarnation))
 
     def test_the_latest_start_at_an_address_is_the_one_beside_a_node(self):
         # The address of an upstream that is gone was given to another; both entries
@@ -125,8 +125,8 @@
         joined = replace(NEW, instance="i-9", slots=9)
         self.directory.put(joined, 9, 0.0)
         self.directory.put(replace(OLD, slots=3), 10, 0.0)
-        self.assertEqual(self.directory.at("10.0.0.1", 80).slots, 9)
-        self.assertIsNone(self.directory.at("10.0.0.1", 81))
+        self.assertEqual(self.directory.at_address("10.0.0.1", 80).slots, 9)
+        self.assertIsNone(self.directory.at_address("10.0.0.1", 81))
 
 
 class UnreadableEntryTests(TestCase):
@@ -142,20 +142,20 @@
     def test_it_names_no_upstream_and_the_others_hold(self):
         # Somebody writes over the entry of an upstream. Nobody knows whether it may
         # still be used, so it gets no new calls; the calls that it runs go on.
-        self.assertTrue(self.directory.obscure("i-1", 7))
+        self.assertTrue(self.directory.mark_unreadable("i-1", 7))
         self.assertEqual(self.serving(), {"i-2"})
-        self.assertFalse(self.directory.left(OLD.incarnation))
-        self.assertEqual(self.directory.at("10.0.0.1", 80), OLD)
+        self.assertFalse(self.directory.is_leaving(OLD.incarnation))
+        self.assertEqual(self.directory.at_address("10.0.0.1", 80), OLD)
 
     def test_its_next_report_brings_it_back(self):
-        self.directory.obscure("i-1", 7)
-        self.assertFalse(self.directory.put(OLD, 5, 1.0, told=True))
+        self.directory.mark_unreadable("i-1", 7)
+        self.assertFalse(self.directory.put(OLD, 5, 1.0, from_peer=True))
         self.assertTrue(self.directory.put(OLD, 8, 1.0))
         self.assertEqual(self.serving(), {"i-1", "i-2"})
 
     def test_an_entry_that_never_could_be_read_names_nobody(self):
-        self.assertFalse(self.directory.obscure("i-7", 8))
-        self.assertEqual(set(self.directory.held), {"i-1", "i-2"})
+        self.assertFalse(self.directory.mark_unreadable("i-7", 8))
+        self.assertEqual(set(self.directory.records), {"i-1", "i-2"})
 
     def test_in_a_whole_list_it_has_not_left(self):
         # The store is read anew. Taken for gone, the upstream's home would refuse the
@@ -163,16 +163,16 @@
         listed = [Published(OTHER, 6)]
         self.directory.reconcile(listed, 9, 1.0, unreadable=[("i-1", 7)])
         self.assertEqual(self.serving(), {"i-2"})
-        self.assertFalse(self.directory.left(OLD.incarnation))
+        self.assertFalse(self.directory.is_leaving(OLD.incarnation))
 
     def test_its_end_is_an_end(self):
-        self.directory.obscure("i-1", 7)
+        self.directory.mark_unreadable("i-1", 7)
         self.directory.remove("i-1", 8, 1.0)
-        self.assertTrue(self.directory.left(OLD.incarnation))
+        self.assertTrue(self.directory.is_leaving(OLD.incarnation))
 
     def test_subscribers_are_told(self):
         count = self.directory.serial
-        self.directory.obscure("i-1", 7)
+        self.directory.mark_unreadable("i-1", 7)
         held, _ = self.directory.changed_since(count)
         told = Directory()
         for each in held:
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -6,7 +6,7 @@
 
 from sequoiaspoke.core.mesh.configdelta import KEPT_VERSIONS, ConfigHistory
 from sequoiaspoke.core.mesh.directory import Directory
-from sequoiaspoke.core.mesh.lapses import LAPSE_GAP
+from sequoiaspoke.core.mesh.lapses import OUTAGE_GAP
 from sequoiaspoke.core.mesh.model import (
     CallerLimits,
     Departure,
@@ -221,25 +221,25 @@
 
     def test_a_vanished_entry_stays_while_the_store_was_away_for_all(self):
         self.directory.put(endpoint("i-1"), 5, 10.0)
-        self.directory.lapses.reached_store(20.0, LAPSE_GAP + 1.0)
+        self.directory.lapses.store_reached(20.0, OUTAGE_GAP + 1.0)
         self.directory.remove("i-1", 7, 20.1)
-        self.assertEqual(self.directory.lapses.vanished, {"i-1": 7})
+        self.assertEqual(self.directory.lapses.vanished_at, {"i-1": 7})
         self.assertEqual(self.directory.expire(22.0), [])
         self.assertEqual(self.directory.expire(22.3), ["i-1"])
-        self.assertEqual(self.directory.gone["i-1"].departure.revision, 7)
+        self.assertEqual(self.directory.departures["i-1"].departure.revision, 7)
 
     def test_a_vanished_entry_that_reports_again_stays(self):
         self.directory.put(endpoint("i-1"), 5, 10.0)
-        self.directory.lapses.lost_store()
+        self.directory.lapses.store_lost()
         self.directory.remove("i-1", 7, 20.0)
         self.directory.put(replace(endpoint("i-1"), slots=9), 8, 21.0)
-        self.directory.lapses.reached_store(21.0)
+        self.directory.lapses.store_reached(21.0)
         self.assertEqual(self.directory.expire(60.0), [])
 
     def test_a_node_that_alone_lost_the_store_doubts_nothing_after_it(self):
         self.directory.put(endpoint("i-1"), 5, 10.0)
-        self.directory.lapses.lost_store()
-        self.directory.lapses.reached_store(20.0, LAPSE_GAP - 1.0)
+        self.directory.lapses.store_lost()
+        self.directory.lapses.store_reached(20.0, OUTAGE_GAP - 1.0)
         self.directory.remove("i-1", 7, 20.1)
         self.assertEqual(self.directory.serving("fleet"), ())
 
@@ -248,11 +248,13 @@
         # has not heard of that yet, tells the new one all it knows.
         self.directory.reconcile([Published(endpoint("i-2"), 6)], 9, 10.0)
         self.directory.complete_to = 9
-        self.assertFalse(self.directory.put(endpoint("i-1"), 5, 11.0, told=True))
-        self.assertTrue(self.directory.put(endpoint("i-3"), 10, 11.0, told=True))
+        self.assertFalse(self.directory.put(endpoint("i-1"), 5, 11.0, from_peer=True))
+        self.assertTrue(self.directory.put(endpoint("i-3"), 10, 11.0, from_peer=True))
 
     def test_the_end_of_an_instance_is_forgotten_in_time(self):
         self.directory.put(endpoint("i-1"), 5, 10.0)
         self.directory.remove("i-1", 7, 10.0)
         self.directory.expire(100.0)
-        self.assertEqual((self.directory.gone, self.directory.marks), ({}, {}))
+        self.assertEqual(
+            (self.directory.departures, self.directory.last_changed), ({}, {})
+        )
--- a/sequoiaspoke/tests/test_sidecar_entry.py
+++ b/sequoiaspoke/tests/test_sidecar_entry.py
@@ -236,7 +236,7 @@
     def by_route(self, made, progress):
         """Return the endpoint that never answers for orders, the other for reads."""
         wanted = "b" if progress.route.name == "order" else "a"
-        held = made.state.directory.held.values()
+        held = made.state.directory.records.values()
         return next(e.endpoint for e in held if e.endpoint.instance == wanted)
 
     def test_a_call_taken_while_stopping_is_answered_before_the_end(self):
--- a/sequoiaspoke/tests/test_sidecar_home.py
+++ b/sequoiaspoke/tests/test_sidecar_home.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh.directory import Directory
-from sequoiaspoke.core.mesh.leavers import LEAVING_QUEUE_SECONDS
+from sequoiaspoke.core.mesh.leaving import LEAVING_QUEUE_SECONDS
 from sequoiaspoke.core.mesh.model import Endpoint
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request
 from sequoiaspoke.sidecar import clock
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -107,7 +107,7 @@
         return frames
 
     def knows(self):
-        held = self.state.directory.held
+        held = self.state.directory.records
         return self.state.version, {name: held[name].endpoint.slots for name in held}
 
 
@@ -357,12 +357,12 @@
             self.reader.state.confirmed_as_of(self.time)
         self.time += 0.5
         self.other.state.take_changes(Changes((StoreItem("i-1", None, 30),), 30))
-        self.assertNotIn("i-1", self.other.state.directory.held)
+        self.assertNotIn("i-1", self.other.state.directory.records)
 
     def test_how_long_an_upstream_stays_cold_is_told(self):
         self.time += 2.0
         self.other.follow(self.reader)
-        cold = self.other.state.directory.cold
+        cold = self.other.state.directory.is_cold
         self.assertTrue(cold("i-1", self.time + 0.4))
         self.assertFalse(cold("i-1", self.time + 0.6))
 
--- a/sequoiaspoke/tests/test_spread_sim.py
+++ b/sequoiaspoke/tests/test_spread_sim.py
@@ -107,7 +107,7 @@
     def test_what_was_removed_is_not_taken_from_a_node_that_lags(self):
         put = Directory.put
 
-        def careless(self, endpoint, revision, now, told=False):
+        def careless(self, endpoint, revision, now, from_peer=False):
             return put(self, endpoint, revision, now)
 
         self.patch(Directory, "put", careless)
