--- a/sequoiaspoke/core/mesh/configdelta.py
+++ b/sequoiaspoke/core/mesh/configdelta.py
@@ -50,14 +50,14 @@
     return ConfigDelta(
         base=old.version if old else 0,
         version=new.version,
-        routes=tuple(each for each in new.routes if differs(before, each)),
+        routes=tuple(each for each in new.routes if is_changed(before, each)),
         removed=tuple(name for name in before if name not in after),
         services=new.services,
         limits=new.limits,
     )
 
 
-def differs(before: dict[str, Route], route: Route) -> bool:
+def is_changed(before: dict[str, Route], route: Route) -> bool:
     """Return whether a route is new or changed; most are one object with the old."""
     known = before.get(route.name)
     return known is not route and known != route
@@ -96,13 +96,13 @@
 
     def install(self, config: MeshConfig) -> MeshConfig | None:
         """Take a whole version if it is newer; return what is now in force of it."""
-        if not self.newer(config):
+        if not self.is_newer(config):
             return None
         shared = share_routes(self.newest, config)
         self.changed_routes = len(difference(self.newest, shared).routes)
         return self.keep(shared)
 
-    def newer(self, config: MeshConfig) -> bool:
+    def is_newer(self, config: MeshConfig) -> bool:
         """Return whether a version comes after all that were taken."""
         return self.newest is None or config.version > self.newest.version
 
@@ -113,7 +113,7 @@
             del self.versions[min(self.versions)]
         return self.newest
 
-    def since(self, version: int) -> ConfigDelta | None:
+    def delta_since(self, version: int) -> ConfigDelta | None:
         """Return the way from a version that another node has to the newest.
 
         None if there is nothing to tell; all of it if that version is not kept here.
--- a/sequoiaspoke/core/mesh/crashes.py
+++ b/sequoiaspoke/core/mesh/crashes.py
@@ -15,10 +15,10 @@
     from collections.abc import Iterable
 
 # Seconds for which a crash is remembered, and one that a single suspect has caused.
-KEPT_SECONDS, KEPT_PROVEN_SECONDS = 600.0, 7200.0
+KEEP_SECONDS, PROVEN_KEEP_SECONDS = 600.0, 7200.0
 # Crashes that are remembered at most; an upstream that cannot stay up for other reasons
 # would fill the memory of every node.
-MOST_CRASHES = 300
+MAX_CRASHES = 300
 
 
 @dataclass(frozen=True)
@@ -65,13 +65,13 @@
         return self.suspects - self.cleared
 
     @property
-    def culprits(self) -> frozenset[str]:
+    def uncleared_proven(self) -> frozenset[str]:
         """Return the suspects that are proven and were not cleared."""
         return self.proven - self.cleared
 
-    def forgotten(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether the crash is too long ago to count."""
-        kept = KEPT_PROVEN_SECONDS if self.culprits else KEPT_SECONDS
+        kept = PROVEN_KEEP_SECONDS if self.uncleared_proven else KEEP_SECONDS
         return now - self.at > kept
 
 
@@ -92,20 +92,22 @@
         self.by_request: dict[tuple[str, str], set[str]] = {}
         self.cached_checksum: int | None = 0
 
-    def of(self, service: str, fingerprint: str) -> list[Crash]:
+    def for_request(self, service: str, fingerprint: str) -> list[Crash]:
         """Return the crashes of which a request is a suspect."""
         names = self.by_request.get((service, fingerprint), ())
         return [self.known[name] for name in names]
 
-    def take(self, crash: Crash, now: float) -> Crash | None:
+    def add(self, crash: Crash, now: float) -> Crash | None:
         """Take a report; return all that is known of the crash if that is news."""
         known = self.known.get(crash.name)
         merged = crash if known is None else known.merged(crash)
-        if merged == known or merged.forgotten(now):
+        if merged == known or merged.is_expired(now):
             return None
         self.store(merged)
-        if len(self.known) > MOST_CRASHES:
-            dropped = min(self.known.values(), key=lambda x: (bool(x.culprits), x.at))
+        if len(self.known) > MAX_CRASHES:
+            dropped = min(
+                self.known.values(), key=lambda x: (bool(x.uncleared_proven), x.at)
+            )
             self.drop(dropped.name)
         return self.known.get(crash.name)
 
@@ -113,7 +115,7 @@
         """Clear a request that was answered; return the crashes with it cleared."""
         changed = [
             replace(crash, cleared=crash.cleared | {fingerprint})
-            for crash in self.of(service, fingerprint)
+            for crash in self.for_request(service, fingerprint)
         ]
         for crash in changed:
             self.store(crash)
@@ -121,7 +123,7 @@
 
     def expire(self, now: float) -> None:
         """Forget what is too long ago."""
-        for crash in [each for each in self.known.values() if each.forgotten(now)]:
+        for crash in [each for each in self.known.values() if each.is_expired(now)]:
             self.drop(crash.name)
 
     def store(self, crash: Crash) -> None:
@@ -150,12 +152,12 @@
     def checksum(self) -> int:
         """Return a number that two nodes share only if they know the same."""
         if self.cached_checksum is None:
-            lines = sorted(map(written, self.known.values()))
+            lines = sorted(map(canonical_text, self.known.values()))
             self.cached_checksum = zlib.crc32("\n".join(lines).encode())
         return self.cached_checksum
 
 
-def written(crash: Crash) -> str:
+def canonical_text(crash: Crash) -> str:
     """Return what nodes have to agree on of a crash."""
     parts: tuple[Iterable[str], ...] = (crash.suspects, crash.proven, crash.cleared)
     lists = [",".join(sorted(part)) for part in parts]
--- a/sequoiaspoke/core/mesh/evacuation.py
+++ b/sequoiaspoke/core/mesh/evacuation.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
 # Zones that are kept at most; somebody else may write items without end.
-MOST_ZONES = 1000
+MAX_ZONES = 1000
 
 
 @dataclass(frozen=True)
@@ -61,12 +61,12 @@
         """Return the zones that are evacuated."""
         return frozenset(zone for zone, each in self.latest.items() if not each.ended)
 
-    def ended_at(self, zone: str) -> int:
+    def end_revision(self, zone: str) -> int:
         """Return the revision at which a zone was taken back, 0 if it was not."""
         known = self.latest.get(zone)
         return known.revision if known is not None and known.ended else 0
 
-    def take(self, evacuation: Evacuation) -> bool:
+    def apply(self, evacuation: Evacuation) -> bool:
         """Take an order or its end; return whether that is news."""
         known = self.latest.get(evacuation.zone)
         if known is not None and known.revision >= evacuation.revision:
@@ -75,21 +75,21 @@
             # It has ended, as another node told while this one read. Its end would
             # not be told again, and the zone would stay empty for good.
             return False
-        if known is None and len(self.latest) >= MOST_ZONES:
+        if known is None and len(self.latest) >= MAX_ZONES:
             return False
         self.latest[evacuation.zone] = evacuation
         self.serial += 1
         return True
 
-    def end_others(self, standing: Iterable[str], revision: int) -> None:
+    def end_missing(self, active: Iterable[str], revision: int) -> None:
         """End the orders that a list of all that stood at a revision lacks."""
-        lacking = self.zones.difference(standing)
-        for zone in sorted(lacking):
-            self.take(Evacuation(zone, revision, ended=True))
+        missing = self.zones.difference(active)
+        for zone in sorted(missing):
+            self.apply(Evacuation(zone, revision, ended=True))
 
-    def take_list(self, listed: Iterable[Evacuation], revision: int) -> None:
+    def apply_list(self, listed: Iterable[Evacuation], revision: int) -> None:
         """Take all that another node knows, complete up to a revision."""
-        told = tuple(listed)
-        for each in told:
-            self.take(each)
-        self.end_others((each.zone for each in told), revision)
+        received = tuple(listed)
+        for each in received:
+            self.apply(each)
+        self.end_missing((each.zone for each in received), revision)
--- a/sequoiaspoke/core/mesh/quarantine.py
+++ b/sequoiaspoke/core/mesh/quarantine.py
@@ -33,51 +33,53 @@
         """Return whether no request is suspected."""
         return not self.crashes.by_request
 
-    def suspected(self, service: str, fingerprint: str) -> bool:
+    def is_suspect(self, service: str, fingerprint: str) -> bool:
         """Return whether a request may run only apart from other suspects."""
         return (service, fingerprint) in self.crashes.by_request
 
     def held_seconds(self, service: str, fingerprint: str, now: float) -> float:
         """Return for how much longer a request is held back, 0 if it may run."""
-        if not self.suspected(service, fingerprint):
+        if not self.is_suspect(service, fingerprint):
             return 0.0
         proven = [
             crash.at
-            for crash in self.crashes.of(service, fingerprint)
-            if fingerprint in crash.culprits
+            for crash in self.crashes.for_request(service, fingerprint)
+            if fingerprint in crash.uncleared_proven
         ]
         if not proven:
             return 0.0
         hold = HOLD_SECONDS[min(len(proven), len(HOLD_SECONDS)) - 1]
         return max(0.0, max(proven) + hold - now)
 
-    def held(self, now: float) -> dict[tuple[str, str], float]:
+    def held_requests(self, now: float) -> dict[tuple[str, str], float]:
         """Return the requests that are held back, and for how many more seconds."""
-        left = {
+        remaining = {
             request: self.held_seconds(*request, now)
             for request in self.crashes.by_request
         }
-        return {request: seconds for request, seconds in left.items() if seconds}
+        return {request: seconds for request, seconds in remaining.items() if seconds}
 
     def release(self, fingerprint: str) -> list[Crash]:
         """Clear a request at all services; return the crashes changed."""
-        services = [each for each, of in self.crashes.by_request if of == fingerprint]
+        services = [
+            each for each, suspect in self.crashes.by_request if suspect == fingerprint
+        ]
         return [
             crash
             for service in services
             for crash in self.crashes.clear(service, fingerprint)
         ]
 
-    def take(self, crash: Crash, now: float) -> Crash | None:
+    def add(self, crash: Crash, now: float) -> Crash | None:
         """Take a report of a crash; return all that is known of it if that is news."""
-        return self.crashes.take(crash, now)
+        return self.crashes.add(crash, now)
 
-    def answered(self, service: str, fingerprint: str) -> list[Crash]:
+    def clear(self, service: str, fingerprint: str) -> list[Crash]:
         """Clear a request that an upstream answered; return the crashes changed."""
         return self.crashes.clear(service, fingerprint)
 
 
-def blame(suspects: dict[str, bool]) -> frozenset[str]:
+def find_proven(suspects: dict[str, bool]) -> frozenset[str]:
     """Return the request that a crash proves guilty, if there is one.
 
     Parameters
--- a/sequoiaspoke/core/mesh/reading.py
+++ b/sequoiaspoke/core/mesh/reading.py
@@ -20,20 +20,20 @@
     from collections.abc import Callable, Iterable, Mapping
 
 # Nodes of a zone that read: one may die or be cut off without a gap.
-READERS = 2
+READERS_PER_ZONE = 2
 # Seconds within which a drain or a version has to be acted on where the platform says
 # nothing else. The times below are for this bound and grow with it: a fleet that
 # may take 3 s asks its store a third less often.
-USUAL_BOUND = 2.0
+DEFAULT_ACT_SECONDS = 2.0
 # Seconds for which a reader's confirmation is believed; a read takes up to 0.2 s, a
 # busy node some tenths.
-BELIEVED_SECONDS = 1.4
+CONFIRMATION_VALID_SECONDS = 1.4
 # Part of the bound that may be over since the last time at which what is known was all
 # there is. A reader says that it has news to read, and is killed: its word that it
 # reads was believed for 2.09 s after a change, where 2 s are allowed (virtual clock).
-LATEST_PART = 0.85
+MAX_STALENESS_RATIO = 0.85
 # Seconds between two confirmations by a reader, so that one lost already counts.
-CONFIRM_SECONDS = 0.9
+CONFIRM_INTERVAL = 0.9
 
 
 def ignore_change() -> None:
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    pace : float
+    time_scale : float
         By how much more time there is to act on a change than usual.
     link_mbps : float
         Rate of this VM's network link, 0 if not known.
@@ -54,13 +54,13 @@
     ----------
     link_rates : dict of str to float
         Rates of the links of the zone's VMs in Mbit/s, as far as they are known.
-    rates_learnt : int
+    rates_serial : int
         Count of the rates by which the readers have changed.
     readers : tuple of str
         Hosts of the zone's readers, as far as this node knows the zone.
-    lost : set of str
+    unreachable : set of str
         Readers to which this node has no link any more.
-    confirmed : float
+    confirmed_at : float
         When the store last answered a reader, if with news that it has not read yet.
     complete_as_of : float
         When what this node knows was last confirmed to be all there is.
@@ -69,24 +69,24 @@
     """
 
     def __init__(
-        self, host: str, zone: str, pace: float = 1.0, link_mbps: float = 0.0
+        self, host: str, zone: str, time_scale: float = 1.0, link_mbps: float = 0.0
     ) -> None:
         self.host = host
         self.zone = zone
         self.hosts: set[str] = set()
         self.leaving: set[str] = set()
         self.link_rates = {host: link_mbps}
-        self.rates_learnt = 0
-        self.act_within = USUAL_BOUND * pace
-        self.believed_seconds = BELIEVED_SECONDS * pace
-        self.confirm_seconds = CONFIRM_SECONDS * pace
+        self.rates_serial = 0
+        self.act_within = DEFAULT_ACT_SECONDS * time_scale
+        self.valid_seconds = CONFIRMATION_VALID_SECONDS * time_scale
+        self.confirm_interval = CONFIRM_INTERVAL * time_scale
         self.readers: tuple[str, ...] = ()
-        self.lost: set[str] = set()
-        self.confirmed = float("-inf")
+        self.unreachable: set[str] = set()
+        self.confirmed_at = float("-inf")
         self.complete_as_of = float("-inf")
         self.on_change: Callable[[], None] = ignore_change
 
-    def take_hosts(self, hosts: Iterable[str], leaving: Iterable[str] = ()) -> None:
+    def set_hosts(self, hosts: Iterable[str], leaving: Iterable[str] = ()) -> None:
         """Take the nodes of the zone.
 
         Parameters
@@ -96,7 +96,7 @@
         """
         self.hosts = set(hosts)
         self.leaving = set(leaving) - self.hosts
-        self.choose()
+        self.choose_readers()
 
     def learn_rates(self, rates: Mapping[str, float]) -> bool:
         """Take the rates of VMs' links; return whether others read by them.
@@ -107,31 +107,33 @@
         readers = self.readers
         for host, rate in rates.items():
             self.link_rates.setdefault(host, rate)
-        self.choose()
+        self.choose_readers()
         if self.readers == readers:
             return False
-        self.rates_learnt += 1
+        self.rates_serial += 1
         return True
 
     @property
     def reader_rates(self) -> dict[str, float]:
         """Return the rates of the readers and this node, as far as they are known."""
-        told = {*self.readers, self.host}
-        return {host: self.link_rates[host] for host in told & self.link_rates.keys()}
+        included = {*self.readers, self.host}
+        return {
+            host: self.link_rates[host] for host in included & self.link_rates.keys()
+        }
 
-    def choose(self) -> None:
+    def choose_readers(self) -> None:
         """Choose the readers: those with the widest links, and of equals by hash.
 
         A configuration of 3,300 routes is 440 KB as the platform writes it. A reader on
         a link of 2.5 Mbit/s takes 1.4 s for each version of a storm, and one on 50
         Mbit/s 0.07 s; 2.5 s are allowed until the version is in force at all nodes.
         """
-        order = self.by_rate(self.hosts) + self.by_rate(self.leaving)
-        self.readers = tuple(order[:READERS])
-        self.lost.intersection_update(self.readers)
+        order = self.widest_first(self.hosts) + self.widest_first(self.leaving)
+        self.readers = tuple(order[:READERS_PER_ZONE])
+        self.unreachable.intersection_update(self.readers)
         self.on_change()
 
-    def by_rate(self, hosts: Iterable[str]) -> list[str]:
+    def widest_first(self, hosts: Iterable[str]) -> list[str]:
         """Return nodes, the one with the widest link first.
 
         One that is not known counts as the narrowest that is. Taken for less, each node
@@ -141,7 +143,7 @@
         narrowest = min(self.link_rates.values())
         return sorted(order, key=lambda host: -self.link_rates.get(host, narrowest))
 
-    def heard(self, as_of: float, answered_at: float | None = None) -> None:
+    def confirm(self, as_of: float, answered_at: float | None = None) -> None:
         """Note that what is known here was current at some time.
 
         Parameters
@@ -151,16 +153,16 @@
         """
         self.complete_as_of = max(self.complete_as_of, as_of)
         answered_at = as_of if answered_at is None else answered_at
-        self.confirmed = max(self.confirmed, answered_at)
+        self.confirmed_at = max(self.confirmed_at, answered_at)
 
     def link_up(self, host: str) -> None:
         """Note that a link to a node stands."""
-        self.lost.discard(host)
+        self.unreachable.discard(host)
 
     def link_down(self, host: str) -> None:
         """Note that the link to a node ended or could not be opened."""
         if host in self.readers:
-            self.lost.add(host)
+            self.unreachable.add(host)
             self.on_change()
 
     @property
@@ -170,11 +172,13 @@
 
     def must_read(self, now: float) -> bool:
         """Return whether this node has to read the store now."""
-        all_lost = bool(self.readers) and self.lost.issuperset(self.readers)
-        return self.on_duty or all_lost or now > self.believed_until
+        all_unreachable = bool(self.readers) and self.unreachable.issuperset(
+            self.readers
+        )
+        return self.on_duty or all_unreachable or now > self.valid_until
 
     @property
-    def first_reader(self) -> str:
+    def primary_reader(self) -> str:
         """Return the reader that tells this node of a new configuration first.
 
         Each of two readers does so for half of the zone. One of 1,680 more routes is
@@ -185,7 +189,7 @@
         return rank(self.host, others)[0] if others else ""
 
     @property
-    def believed_until(self) -> float:
+    def valid_until(self) -> float:
         """Return until when the readers' last confirmation is believed."""
-        latest = self.complete_as_of + LATEST_PART * self.act_within
-        return min(self.confirmed + self.believed_seconds, latest)
+        latest = self.complete_as_of + MAX_STALENESS_RATIO * self.act_within
+        return min(self.confirmed_at + self.valid_seconds, latest)
--- a/sequoiaspoke/measure/costnode.py
+++ b/sequoiaspoke/measure/costnode.py
@@ -9,7 +9,7 @@
 
 from sequoiaspoke.core.idempotency.rendezvous import rank
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
-from sequoiaspoke.core.mesh.reading import READERS
+from sequoiaspoke.core.mesh.reading import READERS_PER_ZONE
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar.app import Sidecar
 from sequoiaspoke.sidecar.logs import configure_output
@@ -62,7 +62,7 @@
         """Return the endpoint beside the real node, which reads for nobody."""
         zone = [self.endpoint(n) for n in range(self.peers) if n % len(ZONES) == 0]
         order = rank(ZONES[0], sorted(each.host for each in zone))
-        host = order[min(READERS, len(order) - 1)]
+        host = order[min(READERS_PER_ZONE, len(order) - 1)]
         return next(each for each in zone if each.host == host)
 
     @property
--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -7,7 +7,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.reading import USUAL_BOUND, ReadingDuty
+from sequoiaspoke.core.mesh.reading import DEFAULT_ACT_SECONDS, ReadingDuty
 from sequoiaspoke.errors import SettingsError
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.callerserver import CallerServer
@@ -79,7 +79,7 @@
         self.duty = ReadingDuty(
             settings.links[0],
             settings.zone,
-            settings.act_within / USUAL_BOUND,
+            settings.act_within / DEFAULT_ACT_SECONDS,
             settings.link_mbps,
         )
         self.spread = Spread(self.state, self.duty, self.log)
@@ -155,7 +155,7 @@
         known = (
             state.directory.serial,
             state.version,
-            self.duty.rates_learnt,
+            self.duty.rates_serial,
             state.evacuations.serial,
         )
         if known != self.acted_on:
@@ -175,9 +175,9 @@
             self.home.take_endpoint(own)
         zone = self.settings.zone
         evacuations = self.state.evacuations
-        self.home.evacuate(zone in evacuations.zones, evacuations.ended_at(zone))
+        self.home.evacuate(zone in evacuations.zones, evacuations.end_revision(zone))
         near = [each for each in self.state.members() if each.zone == zone]
-        self.duty.take_hosts(
+        self.duty.set_hosts(
             (each.host for each in near if not each.draining),
             (each.host for each in near if each.draining),
         )
--- a/sequoiaspoke/sidecar/crashwatch.py
+++ b/sequoiaspoke/sidecar/crashwatch.py
@@ -17,7 +17,7 @@
     UPSTREAM_CRASHED,
     Unknown,
 )
-from sequoiaspoke.core.mesh.quarantine import blame
+from sequoiaspoke.core.mesh.quarantine import find_proven
 from sequoiaspoke.sidecar import clock
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
             service=service,
             at=now,
             suspects=frozenset(suspects),
-            proven=blame(suspects),
+            proven=find_proven(suspects),
         )
         self.report(crash, calls)
         return crash
--- a/sequoiaspoke/sidecar/follower.py
+++ b/sequoiaspoke/sidecar/follower.py
@@ -85,7 +85,7 @@
     async def rest(self) -> None:
         """Wait until it may have become this node's turn to read."""
         self.duty_changed.clear()
-        left = self.duty.believed_until - clock.now()
+        left = self.duty.valid_until - clock.now()
         try:
             async with asyncio.timeout(max(0.0, left) + TIMER_SECONDS):
                 await self.duty_changed.wait()
@@ -160,7 +160,7 @@
                 # At once, if the last confirmation is old: a node that begins to read
                 # for itself must not take its own start for an outage of the store.
                 since = clock.now() - self.state.answered_at
-                pause = max(0.0, self.duty.confirm_seconds - since)
+                pause = max(0.0, self.duty.confirm_interval - since)
                 if self.state.revision < expected:
                     pause = OVERDUE_SECONDS
                 done, _ = await asyncio.wait({waiting}, timeout=pause)
--- a/sequoiaspoke/sidecar/metrics.py
+++ b/sequoiaspoke/sidecar/metrics.py
@@ -87,7 +87,7 @@
             "evacuated_zones": lambda: len(state.evacuations.zones),
             "cold": lambda: int(home.admission.cold_start.cold(clock.now())),
             "suspected": lambda: len(home.suspicion.quarantine.crashes.by_request),
-            "held": lambda: len(home.suspicion.quarantine.held(clock.now())),
+            "held": lambda: len(home.suspicion.quarantine.held_requests(clock.now())),
             "reads_store": lambda: int(node.duty.must_read(clock.now())),
             "subscribers": lambda: len(node.spread.subscribers),
             "links": lambda: sum(x.greeted for x in node.peers.links.values()),
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -154,7 +154,7 @@
             self.holding_back |= held_back
             base = each.version if lacks_config and not held_back else state.version
             news = each.serial != state.directory.serial or base != state.version
-            news |= each.rates_told != self.duty.rates_learnt
+            news |= each.rates_told != self.duty.rates_serial
             news |= each.evacuations_told != state.evacuations.serial
             if not news and each.confirmed >= state.read_at:
                 continue
@@ -162,7 +162,7 @@
             if has not in packed:
                 packed[has] = Prepared(self.frame_since(*has))
             each.serial = state.directory.serial
-            each.rates_told = self.duty.rates_learnt
+            each.rates_told = self.duty.rates_serial
             each.evacuations_told = state.evacuations.serial
             if not held_back:
                 each.version = max(each.version, state.version)
@@ -180,7 +180,7 @@
         state = self.state
         same = (serial, version) == (state.directory.serial, state.version)
         same &= evacuations_told == state.evacuations.serial
-        same_rates = rates_told == self.duty.rates_learnt
+        same_rates = rates_told == self.duty.rates_serial
         if same and same_rates and serial and not state.directory.lapses.vanished_at:
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
@@ -222,7 +222,7 @@
         except KeyError:
             # Its change goes out from a version that this node never had.
             return False
-        self.duty.heard(told.as_of)
+        self.duty.confirm(told.as_of)
         return True
 
     def confirmed(self, confirmed: wire.Confirmed, ahead: float) -> None:
@@ -230,7 +230,7 @@
         as_of, answered_at = confirmed.as_of - ahead, confirmed.answered_at - ahead
         self.state.heard_of_store(answered_at)
         self.state.learn(Knowledge(confirmed.revision, as_of))
-        self.duty.heard(as_of, answered_at)
+        self.duty.confirm(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
         """Subscribe to a reader whose link stands anew."""
@@ -247,7 +247,7 @@
         """Ask a reader for every change from now on."""
         host = link.address[0]
         self.tellers[host] = link
-        first = host == self.duty.first_reader
+        first = host == self.duty.primary_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
         if self.crash_news is not None:
             self.crash_news.tell_all(link.send)
@@ -257,12 +257,12 @@
 
         The one that is not to tell it first need not tell it at all then.
         """
-        holding = (self.state.version, self.duty.first_reader)
+        holding = (self.state.version, self.duty.primary_reader)
         if holding == self.told_holding:
             return
         self.told_holding = holding
         for host, link in self.tellers.items():
-            link.tell_held(self.state.version, host == self.duty.first_reader)
+            link.tell_held(self.state.version, host == self.duty.primary_reader)
 
     def follow_readers(self, peers: Peers) -> None:
         """Keep links to the zone's readers and subscribe to those that are new."""
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -231,7 +231,7 @@
         """Take the beginning or the end of an evacuation."""
         evacuation = self.items.evacuation(item)
         if evacuation is not None:
-            self.evacuations.take(evacuation)
+            self.evacuations.apply(evacuation)
         self.apply_evacuations("store")
 
     def end_evacuations(self, read: Changes) -> None:
@@ -245,7 +245,7 @@
             if self.decoder.kind(item.key) == ItemDecoder.EVACUATION
             and item.value is not None
         )
-        self.evacuations.end_others(standing, read.revision)
+        self.evacuations.end_missing(standing, read.revision)
         self.apply_evacuations("store")
 
     def apply_evacuations(self, source: str) -> None:
@@ -321,7 +321,7 @@
         for departure in knowledge.lapsing:
             directory.remove(departure.instance, departure.revision, now)
         if knowledge.evacuations is not None:
-            self.evacuations.take_list(knowledge.evacuations, knowledge.revision)
+            self.evacuations.apply_list(knowledge.evacuations, knowledge.revision)
             self.apply_evacuations("node")
         log_endpoints(self.log, self.directory, before, "node")
         self.complete_to(knowledge.revision)
@@ -356,7 +356,7 @@
             ),
             gone=tuple(gone),
             lapsing=tuple(self.directory.lapsing()),
-            config=self.history.since(version),
+            config=self.history.delta_since(version),
             config_revision=self.config_revision,
             evacuations=tuple(self.evacuations.latest.values()),
         )
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -64,10 +64,10 @@
                 {
                     "instance": crash.instance,
                     "seconds_ago": round(now - crash.at, 1),
-                    "alone": fingerprint in crash.culprits,
+                    "alone": fingerprint in crash.uncleared_proven,
                 }
-                for crash in quarantine.crashes.of(service, fingerprint)
+                for crash in quarantine.crashes.for_request(service, fingerprint)
             ],
         }
-        for (service, fingerprint), seconds in quarantine.held(now).items()
+        for (service, fingerprint), seconds in quarantine.held_requests(now).items()
     ]
--- a/sequoiaspoke/sidecar/suspicion.py
+++ b/sequoiaspoke/sidecar/suspicion.py
@@ -58,7 +58,7 @@
         """Return whether a request may run only apart from other suspects."""
         if self.quarantine.empty:
             return False
-        return self.quarantine.suspected(service, request.fingerprint)
+        return self.quarantine.is_suspect(service, request.fingerprint)
 
     def suspected_at(self, start: Incarnation, request: Request) -> bool:
         """Return the same for a request that was sent to an upstream."""
@@ -82,7 +82,7 @@
     def learn(self, crashes: Iterable[Crash]) -> list[Crash]:
         """Take reports of crashes; return those that are news."""
         now = clock.now()
-        taken = [self.quarantine.take(crash, now) for crash in crashes]
+        taken = [self.quarantine.add(crash, now) for crash in crashes]
         news = [crash for crash in taken if crash is not None]
         if news:
             self.log_held(news)
@@ -114,7 +114,7 @@
         if not self.suspected_at(start, request):
             return
         service = self.service_of(start)
-        cleared = self.quarantine.answered(service, request.fingerprint)
+        cleared = self.quarantine.clear(service, request.fingerprint)
         self.log.request("call-cleared", request, crashes=len(cleared))
         self.on_change()
         self.on_news(cleared)
@@ -135,8 +135,8 @@
         """Log which requests are held back from now on."""
         now = clock.now()
         for crash in news:
-            for fingerprint in sorted(crash.culprits):
-                known = self.quarantine.crashes.of(crash.service, fingerprint)
+            for fingerprint in sorted(crash.uncleared_proven):
+                known = self.quarantine.crashes.for_request(crash.service, fingerprint)
                 seconds = self.quarantine.held_seconds(crash.service, fingerprint, now)
                 self.log.event(
                     "request-held",
--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -260,7 +260,9 @@
         return {
             request
             for node in self.nodes.values()
-            for request in node.sidecar.home.suspicion.quarantine.held(self.now())
+            for request in node.sidecar.home.suspicion.quarantine.held_requests(
+                self.now()
+            )
         }
 
     def proven(self):
@@ -269,14 +271,14 @@
             fingerprint
             for node in self.nodes.values()
             for crash in node.sidecar.home.suspicion.quarantine.crashes.known.values()
-            for fingerprint in crash.culprits
+            for fingerprint in crash.uncleared_proven
         }
 
     async def watch_held(self):
         """Note for how long anything is held back at most."""
         while True:
             for node in self.nodes.values():
-                held = node.sidecar.home.suspicion.quarantine.held(self.now())
+                held = node.sidecar.home.suspicion.quarantine.held_requests(self.now())
                 self.longest_hold = max(self.longest_hold, *held.values(), 0.0)
             await asyncio.sleep(0.05)
 
--- a/sequoiaspoke/tests/test_evacuation_sim.py
+++ b/sequoiaspoke/tests/test_evacuation_sim.py
@@ -89,7 +89,7 @@
             world.take_back(AKAKI)
             await world.rest()
             for host, node in world.nodes.items():
-                if not node.sidecar.state.evacuations.ended_at(AKAKI):
+                if not node.sidecar.state.evacuations.end_revision(AKAKI):
                     world.problems.append(f"{host}: heard nothing of it")
 
         self.hold(orders)
--- a/sequoiaspoke/tests/test_mesh_crashing.py
+++ b/sequoiaspoke/tests/test_mesh_crashing.py
@@ -148,7 +148,7 @@
             for node in world.nodes.values():
                 known = node.sidecar.home.suspicion.quarantine
                 fingerprint = world.fingerprint(CRASH)
-                world.expect(known.suspected(SERVICE, fingerprint), False)
+                world.expect(known.is_suspect(SERVICE, fingerprint), False)
 
         self.hold(scenario)
 
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh.directory import Directory
-from sequoiaspoke.core.mesh.evacuation import MOST_ZONES, Evacuation, Evacuations
+from sequoiaspoke.core.mesh.evacuation import MAX_ZONES, Evacuation, Evacuations
 from sequoiaspoke.core.mesh.model import Endpoint
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request
 from sequoiaspoke.core.mesh.sample import Sample
@@ -39,60 +39,60 @@
         self.assertEqual(self.evacuations.zones, frozenset(zones))
 
     def test_one_begins_and_ends(self):
-        self.assertTrue(self.evacuations.take(AKAKI))
+        self.assertTrue(self.evacuations.apply(AKAKI))
         self.check("akaki")
-        self.assertTrue(self.evacuations.take(ended(11)))
+        self.assertTrue(self.evacuations.apply(ended(11)))
         self.check()
 
     def test_what_is_told_twice_changes_nothing(self):
-        self.evacuations.take(AKAKI)
+        self.evacuations.apply(AKAKI)
         serial = self.evacuations.serial
-        self.assertFalse(self.evacuations.take(AKAKI))
-        self.assertFalse(self.evacuations.take(ended(9)))
-        self.evacuations.take_list([AKAKI], 30)
+        self.assertFalse(self.evacuations.apply(AKAKI))
+        self.assertFalse(self.evacuations.apply(ended(9)))
+        self.evacuations.apply_list([AKAKI], 30)
         self.assertEqual(self.evacuations.serial, serial)
 
     def test_a_list_that_lags_does_not_end_a_later_evacuation(self):
         # A node that has not heard of an evacuation tells this one what it knows.
         # Calls would go on to a zone that the operators work on.
-        self.evacuations.take(BOLE)
-        self.evacuations.take_list([AKAKI], 11)
+        self.evacuations.apply(BOLE)
+        self.evacuations.apply_list([AKAKI], 11)
         self.check("akaki", "bole")
 
     def test_a_list_that_lags_does_not_bring_back_one_that_has_ended(self):
         # The zone was taken back, and a node that was cut off tells what it knew. The
         # zone would stay empty, as its end is not told again.
         self.evacuations.complete_to = 20
-        self.evacuations.take_list([AKAKI], 15)
-        self.assertFalse(self.evacuations.take(AKAKI))
+        self.evacuations.apply_list([AKAKI], 15)
+        self.assertFalse(self.evacuations.apply(AKAKI))
         self.check()
 
     def test_one_that_was_over_in_a_moment_is_known_to_have_been(self):
         # A zone is emptied and taken back within a second, and only the end is read.
         # Its upstreams are cold after it.
-        self.assertTrue(self.evacuations.take(ended(11)))
-        self.assertEqual(self.evacuations.ended_at("akaki"), 11)
-        self.assertFalse(self.evacuations.take(AKAKI))
+        self.assertTrue(self.evacuations.apply(ended(11)))
+        self.assertEqual(self.evacuations.end_revision("akaki"), 11)
+        self.assertFalse(self.evacuations.apply(AKAKI))
         self.check()
 
     def test_a_list_that_is_newer_ends_what_it_lacks(self):
         # A node was cut off while a zone was taken back, and learns it from one that
         # has started since and never heard of the evacuation.
-        self.evacuations.take(AKAKI)
+        self.evacuations.apply(AKAKI)
         self.evacuations.complete_to = 10
-        self.evacuations.take_list([], 30)
+        self.evacuations.apply_list([], 30)
         self.check()
 
     def test_one_that_was_written_anew_is_kept(self):
-        self.evacuations.take(AKAKI)
-        self.evacuations.take_list([Evacuation("akaki", 25)], 30)
-        self.assertFalse(self.evacuations.take(ended(20)))
+        self.evacuations.apply(AKAKI)
+        self.evacuations.apply_list([Evacuation("akaki", 25)], 30)
+        self.assertFalse(self.evacuations.apply(ended(20)))
         self.check("akaki")
 
     def test_zones_without_end_are_not_kept(self):
-        for number in range(MOST_ZONES + 5):
-            self.evacuations.take(Evacuation(f"z{number}", number + 1))
-        self.assertEqual(len(self.evacuations.zones), MOST_ZONES)
+        for number in range(MAX_ZONES + 5):
+            self.evacuations.apply(Evacuation(f"z{number}", number + 1))
+        self.assertEqual(len(self.evacuations.zones), MAX_ZONES)
 
 
 class ChoiceTests(TestCase):
@@ -256,16 +256,16 @@
 
     def test_a_late_word_without_the_guard_keeps_a_zone_empty(self):
         # The safeguard against old news, switched off, is missed by some history.
-        take = Evacuations.take
+        apply = Evacuations.apply
 
         def unguarded(self, evacuation):
             self.complete_to = 0
-            return take(self, evacuation)
+            return apply(self, evacuation)
 
         def forgetful(self, standing, revision):
             for zone in self.zones.difference(standing):
                 del self.latest[zone]
 
-        self.patch(Evacuations, "take", unguarded)
-        self.patch(Evacuations, "end_others", forgetful)
+        self.patch(Evacuations, "apply", unguarded)
+        self.patch(Evacuations, "end_missing", forgetful)
         self.caught("evacuations")
--- a/sequoiaspoke/tests/test_mesh_quarantine.py
+++ b/sequoiaspoke/tests/test_mesh_quarantine.py
@@ -9,12 +9,12 @@
 from sequoiaspoke.core.mesh import crashes
 from sequoiaspoke.core.mesh.admission import Admission, Arrival, Turned
 from sequoiaspoke.core.mesh.crashes import (
-    KEPT_PROVEN_SECONDS,
-    KEPT_SECONDS,
+    KEEP_SECONDS,
+    PROVEN_KEEP_SECONDS,
     Crash,
     Crashes,
 )
-from sequoiaspoke.core.mesh.quarantine import HOLD_SECONDS, Quarantine, blame
+from sequoiaspoke.core.mesh.quarantine import HOLD_SECONDS, Quarantine, find_proven
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.sidecar.crashwire import pack_crash, unpack_crash
 
@@ -46,51 +46,51 @@
         for order in itertools.islice(itertools.permutations(reports), 0, None, 5000):
             known = Crashes()
             for each in (*order, *rng.sample(order, 4)):
-                known.take(each, NOW)
+                known.add(each, NOW)
             sums.add(known.checksum)
         self.assertEqual(len(sums), 1)
 
     def test_what_is_told_again_is_no_news(self):
         # Guards against two nodes that tell each other the same for ever.
         known = Crashes()
-        self.assertIsNotNone(known.take(crash(1), NOW))
-        self.assertIsNone(known.take(crash(1, at=NOW + 1), NOW))
-        self.assertIsNone(known.take(crash(1, suspects="a"), NOW))
+        self.assertIsNotNone(known.add(crash(1), NOW))
+        self.assertIsNone(known.add(crash(1, at=NOW + 1), NOW))
+        self.assertIsNone(known.add(crash(1, suspects="a"), NOW))
 
     def test_a_request_that_was_cleared_is_not_suspected_by_an_old_report(self):
         # Guards against a report that was long on its way.
         known = Crashes()
-        known.take(crash(1), NOW)
+        known.add(crash(1), NOW)
         known.clear(SERVICE, "a")
-        known.take(crash(1), NOW)
-        self.assertEqual(known.of(SERVICE, "a"), [])
-        self.assertEqual(len(known.of(SERVICE, "b")), 1)
+        known.add(crash(1), NOW)
+        self.assertEqual(known.for_request(SERVICE, "a"), [])
+        self.assertEqual(len(known.for_request(SERVICE, "b")), 1)
 
     def test_an_answer_clears_only_of_crashes_that_were_known(self):
         # Guards against one answer that makes up for all crashes that follow.
         known = Crashes()
-        known.take(crash(1), NOW)
+        known.add(crash(1), NOW)
         known.clear(SERVICE, "a")
-        known.take(crash(2), NOW)
-        self.assertEqual(len(known.of(SERVICE, "a")), 1)
+        known.add(crash(2), NOW)
+        self.assertEqual(len(known.for_request(SERVICE, "a")), 1)
 
     def test_crashes_are_forgotten_after_a_time(self):
         known = Crashes()
-        known.take(crash(1), NOW)
-        known.take(crash(2, proven="a"), NOW)
-        known.expire(NOW + KEPT_SECONDS + 1)
+        known.add(crash(1), NOW)
+        known.add(crash(2, proven="a"), NOW)
+        known.expire(NOW + KEEP_SECONDS + 1)
         self.assertEqual(list(known.known), ["i-2@1"])
-        known.expire(NOW + KEPT_PROVEN_SECONDS + 1)
+        known.expire(NOW + PROVEN_KEEP_SECONDS + 1)
         self.assertEqual((known.known, known.by_request), ({}, {}))
-        self.assertIsNone(known.take(crash(1), NOW + KEPT_SECONDS + 1))
+        self.assertIsNone(known.add(crash(1), NOW + KEEP_SECONDS + 1))
 
     def test_thousands_of_crashes_leave_the_memory_bounded(self):
         # Guards against a caller that makes up new requests without end.
-        self.patch(crashes, "MOST_CRASHES", 50)
+        self.patch(crashes, "MAX_CRASHES", 50)
         known = Crashes()
-        known.take(crash("proven", proven="a", at=NOW - 1), NOW)
+        known.add(crash("proven", proven="a", at=NOW - 1), NOW)
         for number in range(2000):
-            known.take(crash(number, suspects=(f"x{number}",), at=NOW + number), NOW)
+            known.add(crash(number, suspects=(f"x{number}",), at=NOW + number), NOW)
         self.assertEqual(len(known.known), 50)
         self.assertEqual(len(known.by_request), 51)
         self.assertIn("i-proven@1", known.known)
@@ -114,42 +114,42 @@
         # Guards against a wanted page that runs at every crash and is blamed.
         quarantine = Quarantine()
         for number in range(20):
-            quarantine.take(crash(number), NOW)
-        self.assertTrue(quarantine.suspected(SERVICE, "a"))
-        self.assertEqual(quarantine.held(NOW), {})
+            quarantine.add(crash(number), NOW)
+        self.assertTrue(quarantine.is_suspect(SERVICE, "a"))
+        self.assertEqual(quarantine.held_requests(NOW), {})
 
     def test_each_proof_holds_a_request_back_for_longer(self):
         quarantine = Quarantine()
         for number, seconds in enumerate((*HOLD_SECONDS, HOLD_SECONDS[-1])):
-            quarantine.take(crash(number, proven="a"), NOW)
-            self.assertEqual(quarantine.held(NOW), {(SERVICE, "a"): seconds})
-            self.assertEqual(quarantine.held(NOW + seconds), {})
+            quarantine.add(crash(number, proven="a"), NOW)
+            self.assertEqual(quarantine.held_requests(NOW), {(SERVICE, "a"): seconds})
+            self.assertEqual(quarantine.held_requests(NOW + seconds), {})
 
     def test_an_answer_ends_it(self):
         quarantine = Quarantine()
-        quarantine.take(crash(1, proven="a"), NOW)
-        quarantine.answered(SERVICE, "a")
-        self.assertEqual(quarantine.held(NOW), {})
-        self.assertFalse(quarantine.suspected(SERVICE, "a"))
+        quarantine.add(crash(1, proven="a"), NOW)
+        quarantine.clear(SERVICE, "a")
+        self.assertEqual(quarantine.held_requests(NOW), {})
+        self.assertFalse(quarantine.is_suspect(SERVICE, "a"))
 
     def test_it_holds_for_the_service_whose_upstreams_crashed(self):
         # Guards against a route that is moved away and refused all the same.
         quarantine = Quarantine()
-        quarantine.take(crash(1, proven="a"), NOW)
+        quarantine.add(crash(1, proven="a"), NOW)
         self.assertEqual(quarantine.held_seconds("other", "a", NOW), 0.0)
 
     def test_an_operator_can_let_go_of_it(self):
         quarantine = Quarantine()
-        quarantine.take(crash(1, proven="a"), NOW)
-        quarantine.take(replace(crash(2, proven="a"), service="other"), NOW)
+        quarantine.add(crash(1, proven="a"), NOW)
+        quarantine.add(replace(crash(2, proven="a"), service="other"), NOW)
         self.assertEqual(len(quarantine.release("a")), 2)
-        self.assertEqual(quarantine.held(NOW), {})
+        self.assertEqual(quarantine.held_requests(NOW), {})
         self.assertEqual(quarantine.release("a"), [])
 
     def test_a_crash_proves_the_only_one_that_was_suspected_before(self):
-        self.assertEqual(blame({"a": True, "b": False}), frozenset("a"))
-        self.assertEqual(blame({"a": True, "b": True}), frozenset())
-        self.assertEqual(blame({"a": False}), frozenset())
+        self.assertEqual(find_proven({"a": True, "b": False}), frozenset("a"))
+        self.assertEqual(find_proven({"a": True, "b": True}), frozenset())
+        self.assertEqual(find_proven({"a": False}), frozenset())
 
 
 class SuspectsInTheQueueTests(TestCase):
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -16,7 +16,11 @@
     Route,
     Service,
 )
-from sequoiaspoke.core.mesh.reading import BELIEVED_SECONDS, READERS, ReadingDuty
+from sequoiaspoke.core.mesh.reading import (
+    CONFIRMATION_VALID_SECONDS,
+    READERS_PER_ZONE,
+    ReadingDuty,
+)
 from sequoiaspoke.core.rules.weights import WeightedService
 
 HOSTS = [f"10.0.0.{number}" for number in range(1, 29)]
@@ -41,15 +45,15 @@
     def duties(self, hosts=HOSTS):
         found = [ReadingDuty(host, "akaki") for host in hosts]
         for duty in found:
-            duty.take_hosts(hosts)
+            duty.set_hosts(hosts)
         return found
 
     def test_two_nodes_of_a_zone_read(self):
         duties = self.duties()
         for duty in duties:
-            duty.heard(100.0)
+            duty.confirm(100.0)
         reading = [duty for duty in duties if duty.must_read(100.5)]
-        self.assertEqual(len(reading), READERS)
+        self.assertEqual(len(reading), READERS_PER_ZONE)
         self.assertEqual({duty.readers for duty in duties}, {duties[0].readers})
 
     def test_a_node_that_knows_no_other_reads(self):
@@ -60,9 +64,9 @@
         # they wait for an answer. A draining upstream would be sent calls until
         # their wait is over.
         duty = next(each for each in self.duties() if not each.on_duty)
-        duty.heard(100.0)
-        self.assertFalse(duty.must_read(99.99 + BELIEVED_SECONDS))
-        self.assertTrue(duty.must_read(100.0 + BELIEVED_SECONDS + 0.01))
+        duty.confirm(100.0)
+        self.assertFalse(duty.must_read(99.99 + CONFIRMATION_VALID_SECONDS))
+        self.assertTrue(duty.must_read(100.0 + CONFIRMATION_VALID_SECONDS + 0.01))
 
     def test_nodes_whose_links_are_alike_read_by_hash_from_the_start(self):
         # Each knows its own link first. Had it preferred itself for that, every node
@@ -70,7 +74,7 @@
         hosts = [f"10.0.0.{number}" for number in range(8)]
         duties = [ReadingDuty(host, "akaki", 1.0, 1000.0) for host in hosts]
         for duty in duties:
-            duty.take_hosts(hosts)
+            duty.set_hosts(hosts)
         self.assertEqual(len({duty.readers for duty in duties}), 1)
         for duty in duties:
             self.assertFalse(duty.learn_rates(dict.fromkeys(hosts, 1000.0)))
@@ -80,11 +84,11 @@
         # and is killed. Believed for its word alone, a node acted on the change 2.09 s
         # after it was made.
         duty = ReadingDuty("10.0.0.1", "akaki")
-        duty.heard(100.0)
-        duty.heard(100.0, 100.9)
+        duty.confirm(100.0)
+        duty.confirm(100.0, 100.9)
         self.assertFalse(duty.must_read(101.6))
         self.assertTrue(duty.must_read(101.8))
-        duty.heard(101.5, 101.7)
+        duty.confirm(101.5, 101.7)
         self.assertFalse(duty.must_read(103.0))
 
     def test_the_nodes_with_the_widest_links_read(self):
@@ -95,7 +99,7 @@
         rates = dict.fromkeys(hosts, 2.5) | {"10.0.0.7": 50.0, "10.0.0.13": 50.0}
         duties = [ReadingDuty(host, "akaki", 1.0, rates[host]) for host in hosts]
         for duty in duties:
-            duty.take_hosts(hosts)
+            duty.set_hosts(hosts)
         # Each node subscribes to whom it takes for the readers and tells its own rate.
         for _ in range(3):
             for duty in duties:
@@ -107,20 +111,20 @@
         self.assertEqual({frozenset(each) for each in reading}, {
             frozenset({"10.0.0.7", "10.0.0.13"})
         })  # fmt: skip
-        self.assertTrue(max(duty.rates_learnt for duty in duties) <= 4)
+        self.assertTrue(max(duty.rates_serial for duty in duties) <= 4)
 
     def test_nodes_of_leaving_upstreams_read_where_there_are_too_few_others(self):
         duty = ReadingDuty("10.0.0.1", "akaki")
-        duty.take_hosts(HOSTS[:1], HOSTS[:3])
+        duty.set_hosts(HOSTS[:1], HOSTS[:3])
         self.assertEqual(duty.readers[0], HOSTS[0])
-        self.assertEqual(len(duty.readers), READERS)
-        duty.take_hosts(HOSTS[:2], HOSTS[2:])
+        self.assertEqual(len(duty.readers), READERS_PER_ZONE)
+        duty.set_hosts(HOSTS[:2], HOSTS[2:])
         self.assertEqual(set(duty.readers), set(HOSTS[:2]))
 
     def test_an_old_confirmation_does_not_take_back_a_newer_one(self):
         duty = next(each for each in self.duties() if not each.on_duty)
-        duty.heard(100.0)
-        duty.heard(90.0)
+        duty.confirm(100.0)
+        duty.confirm(90.0)
         self.assertFalse(duty.must_read(100.5))
 
     def test_a_node_that_leaves_changes_at_most_its_own_place(self):
@@ -136,7 +140,7 @@
         changed = [route(number) for number in range(1900)]
         changed[7] = route(7, timeout=2.0)
         history.install(config(5, *changed[:-1]))
-        delta = history.since(3)
+        delta = history.delta_since(3)
         self.assertEqual((delta.base, delta.version), (3, 5))
         self.assertEqual(delta.routes, (route(7, timeout=2.0),))
         self.assertEqual(delta.removed, ("r1899",))
@@ -147,7 +151,7 @@
             history.install(config(3, route(1), route(2)))
         newer = config(5, route(1, timeout=9.0), route(4))
         teller.install(newer)
-        learner.install(learner.apply(teller.since(3)))
+        learner.install(learner.apply(teller.delta_since(3)))
         self.assertEqual(set(learner.newest.routes), set(newer.routes))
         self.assertEqual(learner.newest.version, 5)
         self.assertEqual(learner.newest.limits, newer.limits)
@@ -159,8 +163,8 @@
         teller.install(config(3, route(1)))
         teller.install(config(5, route(2)))
         learner.install(config(4, route(3)))
-        self.assertRaises(KeyError, learner.apply, teller.since(3))
-        whole = teller.since(4)
+        self.assertRaises(KeyError, learner.apply, teller.delta_since(3))
+        whole = teller.delta_since(4)
         self.assertEqual((whole.base, whole.routes), (0, (route(2),)))
 
     def test_an_older_version_is_never_taken(self):
@@ -182,7 +186,7 @@
         for version in range(1, 30):
             history.install(config(version, route(version)))
         self.assertEqual(len(history.versions), KEPT_VERSIONS)
-        self.assertEqual(history.since(2).base, 0)
+        self.assertEqual(history.delta_since(2).base, 0)
 
 
 class ToldDirectoryTests(TestCase):
--- a/sequoiaspoke/tests/test_sidecar_crashwatch.py
+++ b/sequoiaspoke/tests/test_sidecar_crashwatch.py
@@ -102,12 +102,14 @@
                 now[0] += 1.0
                 watch.send(number, sent("/a"))
                 await watch.judge(number, LOST)
-                known.take(self.reports[-1][0], now[0])
+                known.add(self.reports[-1][0], now[0])
                 if number == 0:
                     known.clear("fleet", sent("/a").request.fingerprint)
 
         self.play(scenario)
-        self.assertEqual(len(known.of("fleet", sent("/a").request.fingerprint)), 1)
+        self.assertEqual(
+            len(known.for_request("fleet", sent("/a").request.fingerprint)), 1
+        )
 
     def test_a_planned_end_blames_nobody(self):
         async def scenario(watch):
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
-from sequoiaspoke.core.mesh.reading import CONFIRM_SECONDS, ReadingDuty
+from sequoiaspoke.core.mesh.reading import CONFIRM_INTERVAL, ReadingDuty
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.sidecar import clock, spread
@@ -138,7 +138,7 @@
         self.time += 0.9
         self.reader.state.confirmed_as_of(self.time)
         self.assertEqual(len(frames.frames), 2)
-        self.assertEqual(self.other.duty.confirmed, self.time)
+        self.assertEqual(self.other.duty.confirmed_at, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
     def test_a_whole_list_is_one_line_that_is_the_same_at_every_node(self):
@@ -427,7 +427,7 @@
     def test_a_store_without_news_confirms(self):
         async def scenario(node, store):
             await self.until_true(lambda: store.confirmed >= 2)
-            self.assertTrue(node.state.age(clock.now()) < CONFIRM_SECONDS + 5.0)
+            self.assertTrue(node.state.age(clock.now()) < CONFIRM_INTERVAL + 5.0)
             self.assertEqual(store.waits, 1)
 
         self.play(scenario)
@@ -457,10 +457,10 @@
     def test_a_node_whose_readers_confirm_does_not_read(self):
         async def scenario(node, store):
             await self.until_true(lambda: node.state.complete)
-            node.duty.take_hosts(["10.0.0.8", "10.0.0.9"])
-            node.duty.heard(clock.now() + 3600)
+            node.duty.set_hosts(["10.0.0.8", "10.0.0.9"])
+            node.duty.confirm(clock.now() + 3600)
             before = store.confirmed
-            await asyncio.sleep(3 * CONFIRM_SECONDS)
+            await asyncio.sleep(3 * CONFIRM_INTERVAL)
             self.assertTrue(store.confirmed <= before + 1)
 
         self.play(scenario)
--- a/sequoiaspoke/tests/test_spread_sim.py
+++ b/sequoiaspoke/tests/test_spread_sim.py
@@ -81,7 +81,7 @@
 
     def test_a_reader_vouches_only_for_what_the_store_has_confirmed(self):
         def careless(self, now):
-            return self.on_duty or now - self.confirmed > 6.0
+            return self.on_duty or now - self.confirmed_at > 6.0
 
         self.patch(ReadingDuty, "must_read", careless)
         self.caught("not acted on")
