--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -21,13 +21,13 @@
 SERVICE = "fleet"
 READ, ORDER = "read", "order"
 # Seconds for which callers wait, and attempts that each makes.
-PATIENCE, ATTEMPTS = 2.5, 2
+CALLER_TIMEOUT, CALLER_ATTEMPTS = 2.5, 2
 # Seconds of an ordinary call, and until a request that crashes its upstream does so.
-WORK, CRASHES_AFTER = (0.1, 0.3), 0.05
+SERVICE_SECONDS, CRASH_DELAY = (0.1, 0.3), 0.05
 # Seconds until a crashed upstream is back, and until the store drops its entry.
-DOWN, LEASE = (2.0, 3.5), 1.5
+RESTART_SECONDS, ENTRY_LIFETIME = (2.0, 3.5), 1.5
 # Seconds after the third crash from which further runs count, and how many may follow.
-KNOWN_WITHIN, RUNS_MORE = 3.0, 3
+DETECTION_SECONDS, MAX_LATER_RUNS = 3.0, 3
 
 
 class CrashItems(Items):
@@ -67,15 +67,15 @@
         on_send()
         if instance != self.instance:
             return NotRun("instance-replaced", reached=True)
-        self.world.note_run(request, self)
+        self.world.record_run(request, self)
         ended = asyncio.get_running_loop().create_future()
         self.running[ended] = None
         if request.target in self.world.crashing:
             asyncio.get_running_loop().call_later(
-                CRASHES_AFTER, self.crash, request.target, self.instance
+                CRASH_DELAY, self.crash, request.target, self.instance
             )
         try:
-            async with asyncio.timeout(self.world.rng.uniform(*WORK)):
+            async with asyncio.timeout(self.world.rng.uniform(*SERVICE_SECONDS)):
                 await ended
         except TimeoutError:
             return Answer(200, (), request.target.encode(), 0.2)
@@ -91,12 +91,12 @@
         if not self.up or instance not in (None, self.instance):
             return
         self.up = False
-        self.world.note_crash(target)
+        self.world.record_crash(target)
         for ended in list(self.running):
             ended.set_result(None)
         loop = asyncio.get_running_loop()
-        loop.call_later(LEASE, self.world.store.put, self.instance, None)
-        loop.call_later(self.world.rng.uniform(*DOWN), self.start)
+        loop.call_later(ENTRY_LIFETIME, self.world.store.put, self.instance, None)
+        loop.call_later(self.world.rng.uniform(*RESTART_SECONDS), self.start)
 
     def forget_connections(self):
         pass
@@ -130,7 +130,7 @@
         Targets of the requests that crash each upstream which begins to run them.
     """
 
-    nodes_a_zone = 3
+    nodes_per_zone = 3
 
     def __init__(self, seed, zones=("akaki", "bole")):
         super().__init__(seed)
@@ -146,21 +146,21 @@
     def start(self):
         self.publish()
         for zone in self.zones:
-            for number in range(self.nodes_a_zone):
+            for number in range(self.nodes_per_zone):
                 host = f"{zone}-{number}"
                 self.nodes[host] = CrashNode(self, host, zone)
 
-    def note_run(self, request, upstream):
+    def record_run(self, request, upstream):
         self.runs[request.target].append(self.now())
 
-    def note_crash(self, target):
+    def record_crash(self, target):
         self.crashes[target].append(self.now())
 
     # Callers.
 
-    async def ask(self, target, attempts=ATTEMPTS, zone=None):
+    async def call(self, target, attempts=CALLER_ATTEMPTS, zone=None):
         """Make a call as its caller does; return whether it was served."""
-        end = self.now() + PATIENCE
+        end = self.now() + CALLER_TIMEOUT
         for _ in range(attempts):
             left = end - self.now()
             answer = await self.attempt(target, left, zone)
@@ -194,7 +194,7 @@
         except asyncio.CancelledError:
             return None
 
-    def request(self, target, left=PATIENCE):
+    def request(self, target, left=CALLER_TIMEOUT):
         headers = (
             ("Host", "x"),
             ("X-Request-Id", str(self.calls)),
@@ -205,44 +205,44 @@
     def fingerprint(self, target):
         return self.request(target).fingerprint
 
-    async def crowd(self, seconds, rate):
+    async def vary_requests(self, seconds, rate):
         """Let callers come who ask for something else each."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.caller_rng.expovariate(rate))
             kind = self.caller_rng.choice((READ, READ, ORDER))
-            callers.append(asyncio.ensure_future(self.ask_once(kind, len(callers))))
+            callers.append(asyncio.ensure_future(self.call_once(kind, len(callers))))
         await asyncio.gather(*callers)
 
-    async def ask_once(self, kind, number):
+    async def call_once(self, kind, number):
         begun = self.now()
-        served = await self.ask(f"/{kind}/{number}-{begun:.3f}")
+        served = await self.call(f"/{kind}/{number}-{begun:.3f}")
         if kind == READ:
             self.served.append((begun, served))
 
-    async def repeat(self, target, seconds, pause=0.3, zone=None):
+    async def send_crashing(self, target, seconds, pause=0.3, zone=None):
         """Let callers ask for what crashes upstreams again and again."""
         self.crashing.add(target)
         callers = []
         end = self.now() + seconds
         while self.now() < end:
-            callers.append(asyncio.ensure_future(self.ask(target, zone=zone)))
+            callers.append(asyncio.ensure_future(self.call(target, zone=zone)))
             await asyncio.sleep(self.caller_rng.expovariate(1 / pause))
         await asyncio.gather(*callers)
 
-    async def ask_often(self, target, seconds, rate=40.0):
+    async def send_popular(self, target, seconds, rate=40.0):
         """Let callers ask for the same, which crashes nothing."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.caller_rng.expovariate(rate))
-            callers.append(asyncio.ensure_future(self.ask_popular(target)))
+            callers.append(asyncio.ensure_future(self.call_popular(target)))
         await asyncio.gather(*callers)
 
-    async def ask_popular(self, target):
+    async def call_popular(self, target):
         begun = self.now()
-        self.served.append((begun, await self.ask(target)))
+        self.served.append((begun, await self.call(target)))
 
     def cut_zones(self, zone, other):
         """Cut all links between two zones."""
@@ -255,7 +255,7 @@
 
     # What nodes know.
 
-    def held(self):
+    def held_requests(self):
         """Return all that some node holds back."""
         return {
             request
@@ -274,7 +274,7 @@
             for fingerprint in crash.uncleared_proven
         }
 
-    async def watch_held(self):
+    async def track_longest_hold(self):
         """Note for how long anything is held back at most."""
         while True:
             for node in self.nodes.values():
@@ -282,12 +282,12 @@
                 self.longest_hold = max(self.longest_hold, *held.values(), 0.0)
             await asyncio.sleep(0.05)
 
-    def expect(self, found, expected):
+    def check_equal(self, found, expected):
         """Note a problem unless two things are equal."""
         if found != expected:
             self.problems.append(f"{found} in place of {expected}")
 
-    def check_all_know_the_same(self):
+    def check_same_checksum(self):
         known = {
             node.sidecar.home.suspicion.quarantine.crashes.checksum
             for node in self.nodes.values()
@@ -301,25 +301,25 @@
         self.start()
         await asyncio.sleep(5.0)
         await scenario(self)
-        self.judge()
+        self.check_final_state()
         for node in self.nodes.values():
             if node.up:
                 node.kill()
         await asyncio.sleep(0.1)
 
-    def judge(self):
+    def check_final_state(self):
         for target in self.crashing:
             crashes = self.crashes[target]
             if len(crashes) < 3:
                 continue
-            known = crashes[2] + KNOWN_WITHIN
-            more = sum(when > known for when in self.runs[target])
-            if more > RUNS_MORE:
+            known = crashes[2] + DETECTION_SECONDS
+            later_runs = sum(when > known for when in self.runs[target])
+            if later_runs > MAX_LATER_RUNS:
                 self.problems.append(
-                    f"{target}: ran {more} times after {len(crashes)} crashes"
+                    f"{target}: ran {later_runs} times after {len(crashes)} crashes"
                 )
 
-    def share_of_reads(self, since, until):
+    def served_read_ratio(self, since, until):
         """Return the share of the ordinary reads of some seconds that were served."""
         served = [ok for begun, ok in self.served if since <= begun < until]
         return sum(served) / len(served)
--- a/sequoiaspoke/tests/evacuationsim.py
+++ b/sequoiaspoke/tests/evacuationsim.py
@@ -3,7 +3,12 @@
 import asyncio
 import random
 
-from sequoiaspoke.tests.spreadsim import CALM_SECONDS, EVACUATE, ZONES, SpreadWorld
+from sequoiaspoke.tests.spreadsim import (
+    CALM_SECONDS,
+    EVACUATION_PREFIX,
+    ZONES,
+    SpreadWorld,
+)
 
 
 class EvacuationWorld(SpreadWorld):
@@ -27,10 +32,10 @@
             if self.store.mode != "up":
                 continue
             zone = self.evacuation_rng.choice(ZONES)
-            begins = EVACUATE + zone not in self.store.items
-            self.store.put(EVACUATE + zone, b"{}" if begins else None)
+            begins = EVACUATION_PREFIX + zone not in self.store.items
+            self.store.put(EVACUATION_PREFIX + zone, b"{}" if begins else None)
             check = self.is_evacuated(zone, self.store.revision, begins)
-            tasks.append(asyncio.ensure_future(self.acted_on(check)))
+            tasks.append(asyncio.ensure_future(self.check_applied(check)))
         await asyncio.gather(*tasks)
 
     def is_evacuated(self, zone, revision, expected):
@@ -40,53 +45,53 @@
             later = [
                 item
                 for item in self.store.events
-                if item.key == EVACUATE + zone and item.revision > revision
+                if item.key == EVACUATION_PREFIX + zone and item.revision > revision
             ]
-            forgotten = self.store.forgotten > revision
+            compacted = self.store.compacted_revision > revision
             known = zone in state.directory.grouping.excluded_zones
-            return bool(later) or forgotten or known == expected
+            return bool(later) or compacted or known == expected
 
         return check
 
 
-class OrderedWorld(SpreadWorld):
-    """A world in which only what a test orders happens."""
+class ScriptedWorld(SpreadWorld):
+    """A world in which only what a test scripts happens."""
 
-    def __init__(self, seed, orders):
+    def __init__(self, seed, script):
         super().__init__(seed)
-        self.orders = orders
+        self.script = script
         self.checks = []
 
     async def changes(self, seconds):
-        await self.orders(self)
+        await self.script(self)
         await asyncio.gather(*self.checks)
         self.checks.clear()
 
     async def faults(self, seconds):
         pass
 
-    def empty(self, zone):
+    def evacuate(self, zone):
         self.write(zone, b"{}", True)
 
-    def take_back(self, zone):
+    def end_evacuation(self, zone):
         self.write(zone, None, False)
 
     def write(self, zone, value, expected):
         """Write or delete an order and check that every calm node acts on it."""
-        self.store.put(EVACUATE + zone, value)
+        self.store.put(EVACUATION_PREFIX + zone, value)
 
         def check(state):
-            newest = self.store.items.get(EVACUATE + zone)
+            newest = self.store.items.get(EVACUATION_PREFIX + zone)
             changed = (newest is not None) != expected
             return (
                 changed or (zone in state.directory.grouping.excluded_zones) == expected
             )
 
-        self.checks.append(asyncio.ensure_future(self.acted_on(check)))
+        self.checks.append(asyncio.ensure_future(self.check_applied(check)))
 
     def readers(self, zone):
         nodes = [node for node in self.nodes.values() if node.zone == zone]
         return sorted({host for node in nodes for host in node.sidecar.duty.readers})
 
-    async def rest(self):
+    async def settle(self):
         await asyncio.sleep(CALM_SECONDS + 1.0)
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -29,13 +29,13 @@
 from sequoiaspoke.tests.meshsim import SimDialer, play_world
 
 ZONES = ("akaki", "bole")
-EVACUATE = "evacuate/"
-NODES_A_ZONE = 4
+EVACUATION_PREFIX = "evacuate/"
+NODES_PER_ZONE = 4
 # Within so many seconds a node acts on a change, if it and the store were calm from so
 # many seconds before on.
 ACT_SECONDS, CALM_SECONDS = 2.0, 3.0
 # Changes that a history checks at least; one in which faults follow closely goes on.
-LEAST_CHECKED = 10
+MIN_CHECKS = 10
 # Seconds after which a read, and a wait beyond its own length, are given up.
 READ_SECONDS, WAIT_SECONDS, CONFIRM_SECONDS = 1.5, 10.0, 0.6
 
@@ -44,12 +44,12 @@
     """An endpoint's value is whether it drains, a configuration's its routes."""
 
     def kind(self, key):
-        if key.startswith(EVACUATE):
+        if key.startswith(EVACUATION_PREFIX):
             return self.EVACUATION
         return self.CONFIG if key == "config" else self.ENDPOINT
 
     def evacuated_zone(self, key):
-        return key.removeprefix(EVACUATE)
+        return key.removeprefix(EVACUATION_PREFIX)
 
     def check_evacuation(self, key, value):
         if value != b"{}":
@@ -78,10 +78,10 @@
         self.items = {}
         self.events = []
         self.revision = 1
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.mode = "up"
-        self.deaf = False
-        self.losses = 0
+        self.waits_stalled = False
+        self.dropped_waits = 0
         self.changed = asyncio.Event()
 
     def put(self, key, value):
@@ -96,10 +96,14 @@
         self.changed = asyncio.Event()
 
     def evacuations(self):
-        return [item for key, item in self.items.items() if key.startswith(EVACUATE)]
+        return [
+            item
+            for key, item in self.items.items()
+            if key.startswith(EVACUATION_PREFIX)
+        ]
 
     def since(self, after):
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             raise HistoryLostError("forgotten")
         return tuple(item for item in self.events if item.revision > after)
 
@@ -130,17 +134,17 @@
         store = self.world.store
         loop = asyncio.get_running_loop()
         end = loop.time() + WAIT_SECONDS
-        losses = store.losses
-        while store.deaf or (not store.since(after) and loop.time() < end):
+        dropped_waits = store.dropped_waits
+        while store.waits_stalled or (not store.since(after) and loop.time() < end):
             try:
                 await asyncio.wait_for(store.changed.wait(), end - loop.time())
             except TimeoutError:
                 break
-            if losses != store.losses:
+            if dropped_waits != store.dropped_waits:
                 # Cut without a word.
                 await asyncio.sleep(WAIT_SECONDS)
                 raise StoreError("no answer in time")
-            if store.deaf:
+            if store.waits_stalled:
                 await asyncio.sleep(0.1)
         await self.reach(READ_SECONDS)
         return Changes(store.since(after), store.revision)
@@ -159,7 +163,7 @@
         items = (
             item
             for item in newest.values()
-            if item.key != "config" and not item.key.startswith(EVACUATE)
+            if item.key != "config" and not item.key.startswith(EVACUATION_PREFIX)
         )
         return Changes(tuple(items), store.revision)
 
@@ -194,7 +198,7 @@
         self.server = self.sidecar.links
         self.sidecar.log.allowed = lambda kind: False
         self.sidecar.peers.dialer = SimDialer(world, self.host)
-        self.up, self.since = True, world.now()
+        self.up, self.started_at = True, world.now()
         self.versions = []
         self.spawn(self.sidecar.follower.run())
         self.spawn(self.tick())
@@ -231,7 +235,7 @@
         self.cuts = set()
         self.cut_from_store = set()
         self.nodes = {}
-        self.harm = {"store": float("-inf")}
+        self.last_fault_at = {"store": float("-inf")}
         self.problems = []
         self.checked = 0
         self.version = 0
@@ -240,7 +244,7 @@
     def start(self):
         self.publish()
         for zone in ZONES:
-            for number in range(NODES_A_ZONE):
+            for number in range(NODES_PER_ZONE):
                 host = f"{zone}-{number}"
                 self.store.put(f"{zone}/{host}/1", b"0")
                 self.nodes[host] = SpreadNode(self, host, zone)
@@ -254,9 +258,9 @@
     def is_cut(self, one, other):
         return (one, other) in self.cuts or (other, one) in self.cuts
 
-    def hurt(self, name):
+    def note_fault(self, name):
         """Note that a node or the store is not calm at this moment."""
-        self.harm[name] = self.now()
+        self.last_fault_at[name] = self.now()
 
     # Changes.
 
@@ -267,7 +271,7 @@
         text = ",".join([str(self.version), *self.routes])
         self.store.put("config", text.encode())
 
-    def leave_or_join(self):
+    def change_endpoint(self):
         """Let an upstream drain, leave or start anew; return how to see it."""
         host = self.rng.choice(list(self.nodes))
         zone = host.split("-")[0]
@@ -305,22 +309,26 @@
                 wanted = self.version
                 check = self.has_version(wanted)
             else:
-                check = self.leave_or_join()
-            tasks.append(asyncio.ensure_future(self.acted_on(check)))
+                check = self.change_endpoint()
+            tasks.append(asyncio.ensure_future(self.check_applied(check)))
         await asyncio.gather(*tasks)
 
-    def has_version(self, wanted):
-        return lambda state: state.version >= wanted
+    def has_version(self, expected):
+        return lambda state: state.version >= expected
 
-    async def acted_on(self, check):
+    async def check_applied(self, check):
         """Check that every calm node acts on a change in time."""
         made = self.now()
         await asyncio.sleep(ACT_SECONDS)
         for host, node in self.nodes.items():
             calm = made - CALM_SECONDS
-            if not node.up or node.since > calm or self.harm["store"] > calm:
+            if (
+                not node.up
+                or node.started_at > calm
+                or self.last_fault_at["store"] > calm
+            ):
                 continue
-            if host in self.cut_from_store or self.harm.get(host, 0.0) > calm:
+            if host in self.cut_from_store or self.last_fault_at.get(host, 0.0) > calm:
                 continue
             self.checked += 1
             if not check(node.sidecar.state):
@@ -332,7 +340,8 @@
         end = self.now() + seconds
         choices = (
             self.kill, self.kill_readers, self.cut_store, self.cut_store,
-            self.cut_node, self.silence, self.outage, self.forget, self.compact,
+            self.cut_node, self.stall_links, self.outage, self.drop_history,
+            self.compact,
         )  # fmt: skip
         tasks = []
         while self.now() < end:
@@ -368,11 +377,11 @@
         hosts = [host for host in hosts if host not in self.cut_from_store]
         self.cut_from_store.update(hosts)
         for host in hosts:
-            self.hurt(host)
+            self.note_fault(host)
         await asyncio.sleep(self.rng.uniform(0.5, 8.0))
         self.cut_from_store.difference_update(hosts)
         for host in hosts:
-            self.hurt(host)
+            self.note_fault(host)
 
     async def cut_node(self):
         """Cut a node off from all other nodes; it still reaches the store."""
@@ -383,35 +392,35 @@
         await asyncio.sleep(self.rng.uniform(0.5, 8.0))
         self.cuts -= pairs
 
-    async def silence(self):
+    async def stall_links(self):
         """Let a few links lie dead without a word; for the rules a reset of all."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
         for host in self.nodes:
-            self.hurt(host)
+            self.note_fault(host)
 
     async def outage(self):
         if self.store.mode != "up":
             return
         self.store.mode = self.rng.choice(("failing", "silent"))
-        self.hurt("store")
+        self.note_fault("store")
         await asyncio.sleep(self.rng.uniform(0.3, 6.0))
         self.store.mode = "up"
-        self.hurt("store")
+        self.note_fault("store")
 
     async def compact(self):
         """Let waits hear nothing for a second, drop the history and cut them."""
-        if self.store.deaf:
+        if self.store.waits_stalled:
             return
-        self.store.deaf = True
+        self.store.waits_stalled = True
         await asyncio.sleep(1.0)
-        await self.forget()
-        self.store.losses += 1
-        self.store.deaf = False
+        await self.drop_history()
+        self.store.dropped_waits += 1
+        self.store.waits_stalled = False
 
-    async def forget(self):
-        self.store.forgotten = self.store.revision
+    async def drop_history(self):
+        self.store.compacted_revision = self.store.revision
         self.store.events.clear()
 
     # The whole.
@@ -420,19 +429,19 @@
         self.start()
         await asyncio.sleep(5.0)
         await asyncio.gather(self.changes(seconds), self.faults(seconds))
-        while self.checked <= LEAST_CHECKED:
+        while self.checked <= MIN_CHECKS:
             await self.changes(CALM_SECONDS)
         await asyncio.sleep(15.0)
-        self.judge()
+        self.check_final_state()
         for node in self.nodes.values():
             node.kill()
         # Tasks that were cancelled end in a few turns of the loop.
         await asyncio.sleep(0.1)
 
-    def judge(self):
+    def check_final_state(self):
         evacuated = {item.key for item in self.store.evacuations()}
         expected = set(self.store.items) - {"config"} - evacuated
-        zones = {key.removeprefix(EVACUATE) for key in evacuated}
+        zones = {key.removeprefix(EVACUATION_PREFIX) for key in evacuated}
         for host, node in self.nodes.items():
             if node.versions != sorted(node.versions):
                 self.problems.append(f"{host}: went back to an older version")
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -17,7 +17,7 @@
 from sequoiaspoke.sidecar.source import Changes, StoreItem
 from sequoiaspoke.sidecar.state import MeshState
 from sequoiaspoke.tests.evacuationsim import EvacuationWorld
-from sequoiaspoke.tests.spreadsim import EVACUATE, Items, play
+from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, Items, play
 from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, HeldUpstream
 
 SEEDS = range(16)
@@ -125,7 +125,7 @@
         log = EventLog("x-request-id")
         log.event = lambda kind, **fields: self.lines.append((kind, fields))
         self.state = MeshState(Items(), log, lambda: None)
-        self.order = StoreItem(EVACUATE + "akaki", b"{}", 5)
+        self.order = StoreItem(EVACUATION_PREFIX + "akaki", b"{}", 5)
 
     def check(self, *zones):
         self.assertEqual(self.state.directory.grouping.excluded_zones, frozenset(zones))
@@ -169,7 +169,7 @@
         self.assertEqual([each["revision"] for each in refused], [7, 9])
 
     def test_a_zone_that_nobody_knows(self):
-        unknown = StoreItem(EVACUATE + "nowhere", b"{}", 5)
+        unknown = StoreItem(EVACUATION_PREFIX + "nowhere", b"{}", 5)
         endpoint = StoreItem("akaki/akaki-0/1", b"0", 4)
         self.state.take_all(Changes((endpoint, unknown), 5, lists_evacuations=True))
         self.assertEqual(len(self.state.directory.serving("fleet")), 1)
@@ -247,7 +247,7 @@
             world = play(seed, self, EvacuationWorld)
             self.assertEqual((seed, world.problems), (seed, []))
 
-    def caught(self, words):
+    def assert_detected(self, words):
         for seed in SEEDS:
             problems = play(seed, self, EvacuationWorld).problems
             if any(words in problem for problem in problems):
@@ -262,10 +262,10 @@
             self.complete_to = 0
             return apply(self, evacuation)
 
-        def forgetful(self, standing, revision):
+        def forget_ended(self, standing, revision):
             for zone in self.zones.difference(standing):
                 del self.latest[zone]
 
         self.patch(Evacuations, "apply", unguarded)
-        self.patch(Evacuations, "end_missing", forgetful)
-        self.caught("evacuations")
+        self.patch(Evacuations, "end_missing", forget_ended)
+        self.assert_detected("evacuations")
