--- a/sequoiaspoke/core/mesh/__init__.py
+++ b/sequoiaspoke/core/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a sidecar: routes, placing, repeats, admission, endpoints."""
+"""Decisions of a sidecar: routing, load balancing, retries, admission, endpoints."""
--- a/sequoiaspoke/core/mesh/directory.py
+++ b/sequoiaspoke/core/mesh/directory.py
@@ -1,16 +1,16 @@
-"""Keep the endpoints that the platform publishes, through its outages.
+"""Directory of the endpoints that the platform publishes.
 
-An entry that vanishes around an outage of the store stays for a while (`lapses.py`).
+An entry that vanishes around an outage of the store is kept for a while (`lapses.py`).
 
-An upstream may start again under its name, and what was sent before may be written or
-told late. So the time of the start goes first and the revision second: nothing of an
-earlier start replaces a later one, whatever its revision. The end of an entry names no
-start; it ends what was written before it.
+An upstream may restart under the same instance name, and reports of the previous
+incarnation may arrive late. Entries are therefore ordered by start time first and by
+revision second: an earlier incarnation never replaces a later one, whatever its
+revision. A removal names no incarnation; it ends whatever was written before it.
 
-Somebody else may write over an entry so that it cannot be read. It names no upstream
-that could be chosen then, and the one that stood there gets no new calls; it has not
-left, so that its home goes on with the calls it has and takes those under way to it.
-Its next report, a second or two later, brings it back.
+If another writer overwrites an entry with data that cannot be parsed, the endpoint
+gets no new calls, but it does not count as departed: its home finishes the calls that
+it has and accepts those already sent to it. The upstream's next report, a second or
+two later, restores the entry.
 """
 
 from __future__ import annotations
@@ -29,31 +29,30 @@
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Published
     from sequoiaspoke.core.mesh.records import EndpointGroup
 
-# Seconds for which an instance that left is remembered, so that late news from a
-# lagging node does not bring it back; beyond any drain and any lag of a peer.
+# Seconds for which a departure is remembered, so that a late update from a lagging node
+# does not restore the endpoint. Longer than any drain and any lag of a peer.
 DEPARTURE_KEEP_SECONDS = 60.0
 
 
 class Directory:
-    """The endpoints in force at this node.
+    """The endpoints known to this node.
 
     Attributes
     ----------
     records : dict of str to EndpointRecord
-        By instance; those draining, those kept through a lapse and those whose entry
-        cannot be read included.
+        By instance; includes endpoints that drain, lapse or have an unreadable entry.
     lapses : Lapses
-        Which of them are kept although they vanished around an outage.
+        Entries that vanished around an outage and are kept for now.
     departures : dict of str to DepartureRecord
-        The instances that left.
+        Instances that departed recently.
     serial : int
-        Count of the changes made here; others are told those since a count.
+        Number of changes so far; peers are sent the changes since a serial.
     last_changed : dict of str to int
-        The count at each instance's last change.
+        Serial of each instance's last change.
     complete_to : int
-        Revision up to which every entry of the store is known here.
+        Revision up to which this node has seen every entry of the store.
     grouping : Grouping
-        The same endpoints by service and by VM.
+        The endpoints by service and by VM.
     """
 
     def __init__(self) -> None:
@@ -73,18 +72,18 @@
         from_peer: bool = False,
         readable: bool = True,
     ) -> bool:
-        """Take a published entry; return whether it changed anything.
+        """Apply a published entry; return whether it changed anything.
 
         Parameters
         ----------
         from_peer : bool
-            Whether another node told it, which may know less than this one.
+            Whether the entry comes from another node, which may lag behind this one.
         """
         known = self.records.get(endpoint.instance)
         if from_peer and known is None and revision <= self.complete_to:
-            # It was there once and has been removed since. A node that has just
-            # started and read the store does not remember the removal; taken from one
-            # that lags, the entry would stay for good.
+            # This entry was removed before. A node that has just started and read the
+            # store has no record of the removal; if it accepted the entry from a
+            # lagging peer, nothing would ever remove it again.
             return False
         if known is not None and not known.superseded_by(endpoint, revision):
             return False
@@ -101,7 +100,7 @@
         return True
 
     def mark_unreadable(self, instance: str, revision: int) -> bool:
-        """Note that an entry cannot be read any more; return whether that is news."""
+        """Mark an entry as unreadable; return whether that changed anything."""
         known = self.records.get(instance)
         if known is None or known.revision >= revision:
             return False
@@ -113,7 +112,7 @@
     def remove(
         self, instance: str, revision: int, now: float, trusted: bool = False
     ) -> bool:
-        """Take a removal; return whether the endpoint is gone now.
+        """Apply a removal; return whether it dropped the endpoint.
 
         Parameters
         ----------
@@ -129,8 +128,8 @@
             and departed is not None
             and departed.departure.revision >= revision
         ):
-            # Told once more. Two nodes that tell each other of every change would
-            # otherwise do so for ever.
+            # Already known. If it counted as a change, two nodes that forward every
+            # change to each other would do so forever.
             return False
         unreliable = not trusted and self.lapses.removals_unreliable(now)
         if known is not None and unreliable and not known.endpoint.draining:
@@ -147,12 +146,12 @@
         trusted: bool = False,
         unreadable: Iterable[tuple[str, int]] = (),
     ) -> bool:
-        """Take a whole list read at a revision; what it lacks has vanished.
+        """Apply a complete list read at a revision; missing entries are removed.
 
         Parameters
         ----------
         unreadable : iterable of str and int
-            Instances that are listed with an entry that cannot be read.
+            Instance and revision of each listed entry that cannot be parsed.
         """
         listed_instances = set()
         changed = False
@@ -169,7 +168,7 @@
         return changed
 
     def forget(self, instance: str, revision: int, now: float) -> None:
-        """Drop an endpoint and remember that it left."""
+        """Drop an endpoint and record its departure."""
         known = self.records.pop(instance, None)
         self.lapses.drop(instance)
         self.departures[instance] = DepartureRecord(
@@ -178,11 +177,12 @@
         self.note_change(instance)
 
     def apply_departure(self, departure: Departure, now: float) -> None:
-        """Take the end of an entry from another node that reads a healthy store."""
+        """Apply a departure from another node that reads a healthy store."""
         self.remove(departure.instance, departure.revision, now, trusted=True)
         departed = self.departures.get(departure.instance)
         if departed is not None and departed.departure.born <= departure.born:
-            # The other may have known the start, or its leaving, and this node not.
+            # The peer may have known the incarnation or its drain, which this node
+            # missed.
             revision = max(departed.departure.revision, departure.revision)
             merged = replace(departure, revision=revision)
             self.departures[departure.instance] = DepartureRecord(
@@ -192,7 +192,7 @@
     def departure_of(
         self, instance: str, known: EndpointRecord | None, revision: int
     ) -> Departure:
-        """Return the end of an entry, with what is known of the start it was of."""
+        """Return the departure of an entry, with what is known of its incarnation."""
         if known is not None:
             endpoint = known.endpoint
             return Departure(instance, endpoint.born, revision, endpoint.draining)
@@ -202,14 +202,14 @@
         return replace(before.departure, revision=revision)
 
     def note_change(self, instance: str) -> None:
-        """Note a change."""
+        """Advance the serial and record it for a changed instance."""
         self.serial += 1
         self.last_changed[instance] = self.serial
 
     def changed_since(
         self, serial: int
     ) -> tuple[list[EndpointRecord], list[Departure]]:
-        """Return the entries taken, and the instances gone, since a count."""
+        """Return the entries and departures that changed after a serial."""
         records = [
             each
             for name, each in self.records.items()
@@ -223,18 +223,18 @@
         return records, departures
 
     def lapsing(self) -> list[Departure]:
-        """Return the entries that vanished and are kept for now."""
+        """Return departures of the entries that vanished but are still kept."""
         return [
             self.departure_of(name, self.records[name], revision)
             for name, revision in self.lapses.vanished_at.items()
         ]
 
     def expire(self, now: float) -> list[str]:
-        """Drop what stayed long enough; return the instances."""
+        """Drop expired lapses and departures; return the lapsed instances."""
         due = self.lapses.due(now)
         for instance in due:
             self.forget(instance, self.lapses.vanished_at[instance], now)
-        # The first is the one that left first, but for a few that left again.
+        # Insertion order is departure order, except for instances that departed again.
         while self.departures:
             instance, departed = next(iter(self.departures.items()))
             if departed.learned_at + DEPARTURE_KEEP_SECONDS >= now:
@@ -244,7 +244,7 @@
         return due
 
     def grouped(self) -> Grouping:
-        """Return the endpoints by service and by VM."""
+        """Return the up-to-date endpoints by service and by VM."""
         self.grouping.refresh(self.records, self.serial)
         return self.grouping
 
@@ -257,23 +257,23 @@
         return self.group(service).endpoints
 
     def at_host(self, host: str) -> tuple[Endpoint, ...]:
-        """Return the endpoints on a VM, those that leave included."""
+        """Return the endpoints on a VM, including those that drain."""
         return self.grouped().hosts.get(host, ())
 
     def host_count(self) -> int:
-        """Return on how many VMs there are endpoints."""
+        """Return the number of VMs with endpoints."""
         return len(self.grouped().hosts)
 
     def is_cold(self, instance: str, now: float) -> bool:
-        """Return whether an endpoint is still slow after its start."""
+        """Return whether an endpoint is still in its cold start."""
         record = self.records.get(instance)
         return record is not None and record.cold_until > now
 
     def is_leaving(self, incarnation: Incarnation) -> bool:
-        """Return whether a start drains or has left, as far as is known.
+        """Return whether an incarnation is known to drain or to have departed.
 
-        One that was replaced by a later start under its name has not: a call that was
-        sent to it and has not run can run there.
+        False if a later incarnation of the same instance serves: a call that was sent
+        to the earlier one and has not run can run there.
         """
         record = self.records.get(incarnation.instance)
         if record is not None:
@@ -282,7 +282,7 @@
         return departed is not None and departed.departure.born >= incarnation.born
 
     def at_address(self, host: str, port: int) -> Endpoint | None:
-        """Return the endpoint at an address, the latest if entries of two stand."""
+        """Return the endpoint at an address, the latest if several entries name it."""
         found = [
             self.records[endpoint.instance]
             for endpoint in self.at_host(host)
--- a/sequoiaspoke/core/mesh/grouping.py
+++ b/sequoiaspoke/core/mesh/grouping.py
@@ -10,19 +10,20 @@
     from sequoiaspoke.core.mesh.model import Endpoint
     from sequoiaspoke.core.mesh.records import EndpointRecord
 
-# Count of changes at which no grouping was made yet.
+# Serial that no directory has; forces a rebuild.
 NOT_BUILT = -1
 
 
 class Grouping:
-    """The endpoints in groups, made anew only when they are asked for after a change.
+    """The endpoints by service and by VM.
 
-    A list of n entries would else be grouped n times.
+    Groups are rebuilt on the first access after a change, not at each change: a list of
+    n entries would otherwise be grouped n times.
 
     Attributes
     ----------
     excluded_zones : frozenset of str
-        Zones whose endpoints get no new calls.
+        Evacuated zones, whose endpoints get no new calls.
     """
 
     def __init__(self) -> None:
@@ -32,12 +33,12 @@
         self.built_at = NOT_BUILT
 
     def exclude_zones(self, zones: frozenset[str]) -> None:
-        """Choose no endpoints of some zones, and those of all others again."""
+        """Set the excluded zones, in place of those set before."""
         self.excluded_zones = zones
         self.built_at = NOT_BUILT
 
     def refresh(self, records: dict[str, EndpointRecord], serial: int) -> None:
-        """Group anew if any endpoint has changed since the last time."""
+        """Rebuild the groups if any endpoint has changed since the last time."""
         if self.built_at == serial:
             return
         self.built_at = serial
--- a/sequoiaspoke/core/mesh/lapses.py
+++ b/sequoiaspoke/core/mesh/lapses.py
@@ -1,38 +1,38 @@
-"""Keep entries that vanish while the platform's store is away, or just after it.
+"""Keep entries that vanish during or just after an outage of the platform's store.
 
-The platform drops the entry of an upstream that has been silent, also while the
-store is away and the upstream cannot report. Taken at its word, a store that
-returns after an outage would empty whole services of upstreams that run well,
-until each has reported again. So an entry that vanishes during an outage or just
-after it stays for a while; one that is still missing then is gone. An entry
-that vanishes from a healthy store is gone at once.
+The platform drops the entry of an upstream that stops reporting, even if it could not
+report because the store was unavailable. If these removals were applied, whole services
+would lose healthy upstreams after each outage until every one had reported again. So an
+entry that vanishes during an outage or just after it is kept for a grace period, and
+dropped if it is still missing then. An entry that vanishes from a healthy store is
+dropped at once.
 """
 
 from __future__ import annotations
 
-# Seconds after the store's return for which a vanished entry stays: upstreams
-# that live have reported again within two, and reading takes a moment.
+# Seconds after the store's recovery for which a vanished entry is kept: running
+# upstreams report again within two seconds, and reading the store takes a moment.
 LAPSE_GRACE = 2.2
-# Seconds without a confirmation by the store, to this node or to one that tells it,
-# from which the store is taken to have been away: upstreams report each 1.5 s and lapse
-# after three reports that were missed, so that a shorter absence lapses none. A
-# node that alone was cut off hears the others' confirmations all the while.
+# Seconds without an answer of the store, to this node or to a node that forwards it,
+# from which the store counts as having been unavailable. Upstreams report every 1.5 s
+# and lapse after three missed reports, so a shorter gap lapses none. A node that was
+# cut off alone still receives the confirmations of the others.
 OUTAGE_GAP = 2.0
 
 
 class Lapses:
-    """The entries that vanished around an outage.
+    """Entries that vanished around an outage and are kept for now.
 
     Attributes
     ----------
     outage : bool
         Whether the store does not answer.
     recovered_at : float
-        When it was last back after it had been away.
+        When the store last recovered from an outage.
     kept_until : dict of str to float
-        When to give up on each entry, by instance.
+        When to drop each entry, by instance.
     vanished_at : dict of str to int
-        Revision at which each of them vanished.
+        Revision at which each entry vanished.
     """
 
     def __init__(self) -> None:
@@ -42,26 +42,26 @@
         self.vanished_at: dict[str, int] = {}
 
     def keep(self, instance: str, revision: int, now: float) -> None:
-        """Keep an entry that has vanished for a while."""
+        """Keep a vanished entry for the grace period."""
         self.kept_until.setdefault(instance, self.grace_end(now))
         self.vanished_at[instance] = revision
 
     def drop(self, instance: str) -> None:
-        """Forget an entry that is there again or gone for good."""
+        """Stop keeping an entry that is back or finally dropped."""
         self.kept_until.pop(instance, None)
         self.vanished_at.pop(instance, None)
 
     def store_lost(self) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         self.outage = True
 
     def store_reached(self, now: float, gap: float = float("inf")) -> None:
-        """Note that the store answers.
+        """Record that the store answers.
 
         Parameters
         ----------
         gap : float
-            Seconds since it was last known to answer anybody.
+            Seconds since the store was last known to answer any node.
         """
         was_away = gap > OUTAGE_GAP
         if not (self.outage or was_away):
@@ -73,15 +73,15 @@
             self.kept_until[instance] = now + LAPSE_GRACE if was_away else now
 
     def removals_unreliable(self, now: float) -> bool:
-        """Return whether a missing entry says little."""
+        """Return whether an entry may be missing only because of an outage."""
         return self.outage or now < self.recovered_at + LAPSE_GRACE
 
     def grace_end(self, now: float) -> float:
-        """Return until when an entry that vanishes now stays."""
+        """Return until when to keep an entry that vanishes now."""
         if self.outage:
             return float("inf")
         return max(now, self.recovered_at + LAPSE_GRACE)
 
     def due(self, now: float) -> list[str]:
-        """Return the instances that stayed long enough."""
+        """Return the instances whose grace period is over."""
         return [name for name, until in self.kept_until.items() if until <= now]
--- a/sequoiaspoke/core/mesh/leaving.py
+++ b/sequoiaspoke/core/mesh/leaving.py
@@ -1,4 +1,4 @@
-"""Tell for which leaving upstreams calls should wait no longer."""
+"""Limit how long calls wait for an upstream that is leaving."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
     from sequoiaspoke.core.mesh.model import Incarnation
 
-# Seconds for which calls still go to an upstream after this node learnt that it leaves:
-# all of two seconds are allowed from the report on, and the news may have taken some
-# tenths to come here.
+# Seconds for which queued calls still run at an upstream after this node learned that
+# it is leaving. Two seconds are allowed from the upstream's report on, and the report
+# may have taken some tenths of a second to arrive here.
 LEAVING_QUEUE_SECONDS = 1.2
 
 
 class LeavingUpstreams:
-    """Since when this node knows that upstreams leave for which calls wait.
+    """Leaving upstreams for which calls wait, and since when they are known to leave.
 
     Parameters
     ----------
     is_leaving : callable
-        Tells whether a start of an upstream drains or has left.
+        Returns whether an incarnation drains or has departed.
     """
 
     def __init__(self, is_leaving: Callable[[Incarnation], bool]) -> None:
@@ -31,7 +31,7 @@
     def overdue(
         self, incarnations: Iterable[Incarnation], now: float
     ) -> set[Incarnation]:
-        """Return those of some starts that have been leaving for too long."""
+        """Return the given incarnations that have been leaving for too long."""
         self.leaving_since = {
             incarnation: self.leaving_since.get(incarnation, now)
             for incarnation in incarnations
@@ -44,5 +44,5 @@
         }
 
     def clear(self) -> None:
-        """Forget the starts, as no call waits."""
+        """Forget all incarnations, as no call waits."""
         self.leaving_since.clear()
--- a/sequoiaspoke/core/mesh/reading.py
+++ b/sequoiaspoke/core/mesh/reading.py
@@ -1,13 +1,14 @@
 """Decide which nodes read the platform's store.
 
-Each read is paid for, and in a zone of 28 nodes that all wait for changes every change
-costs 28 of them and 28 times its bytes, on links that may carry 2.5 Mbit/s. So two
-nodes of a zone, the same by every node's own reckoning, read for it and tell the
-others. A node whose readers have not lately confirmed what it knows reads for itself:
-both may be dead, or cut off from the store while this node is not. Where its links to
-both have ended it does so at once: while nodes waited for a confirmation, they acted on
-a change that the readers took with them 2.06 s after it, where 2 s are allowed (virtual
-clock, one seed).
+Reads of the store are billed. If all 28 nodes of a zone waited for changes, each
+change would cost 28 reads and 28 times its bytes, on links that may carry only 2.5
+Mbit/s. So two nodes of a zone, which every node determines independently, read the
+store and forward changes to the others.
+
+A node whose readers have not confirmed its state recently reads for itself: both may
+be dead, or cut off from the store while this node is not. If its links to both are
+down it does so at once. Waiting for the confirmation to expire took slightly longer
+than the 2 s in which a change has to be acted on.
 """
 
 from __future__ import annotations
@@ -19,53 +20,54 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-# Nodes of a zone that read: one may die or be cut off without a gap.
+# Two, so that one may die or be cut off without a gap.
 READERS_PER_ZONE = 2
-# Seconds within which a drain or a version has to be acted on where the platform says
-# nothing else. The times below are for this bound and grow with it: a fleet that
-# may take 3 s asks its store a third less often.
+# Default for the seconds within which a drain or a new version has to be acted on. The
+# times below hold for this bound and scale with it: a fleet that may take 3 s reads its
+# store a third less often.
 DEFAULT_ACT_SECONDS = 2.0
-# Seconds for which a reader's confirmation is believed; a read takes up to 0.2 s, a
-# busy node some tenths.
+# Seconds for which a reader's confirmation is valid. The rest of the bound covers a
+# read, up to 0.2 s, and the delay of a busy node, some tenths of a second.
 CONFIRMATION_VALID_SECONDS = 1.4
-# Part of the bound that may be over since the last time at which what is known was all
-# there is. A reader says that it has news to read, and is killed: its word that it
-# reads was believed for 2.09 s after a change, where 2 s are allowed (virtual clock).
+# Share of the bound for which this node may rely on its readers after its state was
+# last known to be complete. Without this limit, a reader that announced a change and
+# died before reading it delayed the change beyond the bound.
 MAX_STALENESS_RATIO = 0.85
-# Seconds between two confirmations by a reader, so that one lost already counts.
+# Seconds between two confirmations by a reader; above half of the validity, so that a
+# single lost confirmation makes a node read for itself.
 CONFIRM_INTERVAL = 0.9
 
 
 def ignore_change() -> None:
-    """Do nothing; until somebody waits for a change of the duty."""
+    """Do nothing; default of `ReadingDuty.on_change`."""
 
 
 class ReadingDuty:
-    """Whether this node reads the store.
+    """Choose the readers of a zone and decide whether this node reads the store.
 
     Parameters
     ----------
     time_scale : float
-        By how much more time there is to act on a change than usual.
+        Factor between the time allowed to act on a change and the default.
     link_mbps : float
-        Rate of this VM's network link, 0 if not known.
+        Rate of this VM's network link, 0 if unknown.
 
     Attributes
     ----------
     link_rates : dict of str to float
-        Rates of the links of the zone's VMs in Mbit/s, as far as they are known.
+        Known link rates of the zone's VMs in Mbit/s.
     rates_serial : int
-        Count of the rates by which the readers have changed.
+        Number of times that learned rates changed the choice of readers.
     readers : tuple of str
-        Hosts of the zone's readers, as far as this node knows the zone.
+        Hosts of the zone's readers, by this node's view of the zone.
     unreachable : set of str
-        Readers to which this node has no link any more.
+        Readers to which this node has lost its link.
     confirmed_at : float
-        When the store last answered a reader, if with news that it has not read yet.
+        When the store last answered a reader, even with changes not read yet.
     complete_as_of : float
-        When what this node knows was last confirmed to be all there is.
+        When this node's state was last confirmed to be complete.
     on_change : callable
-        Told when this node may have to read sooner than its readers' silence says.
+        Called when this node may have to read before the confirmation expires.
     """
 
     def __init__(
@@ -87,22 +89,22 @@
         self.on_change: Callable[[], None] = ignore_change
 
     def set_hosts(self, hosts: Iterable[str], leaving: Iterable[str] = ()) -> None:
-        """Take the nodes of the zone.
+        """Set the nodes of the zone.
 
         Parameters
         ----------
         leaving : iterable of str
-            Nodes beside upstreams that drain; they read if there are too few others.
+            Nodes beside draining upstreams; they read only if there are too few others.
         """
         self.hosts = set(hosts)
         self.leaving = set(leaving) - self.hosts
         self.choose_readers()
 
     def learn_rates(self, rates: Mapping[str, float]) -> bool:
-        """Take the rates of VMs' links; return whether others read by them.
+        """Add link rates of VMs; return whether they changed the choice of readers.
 
-        Only then they are told on: a zone of 90 nodes that starts would else tell each
-        of them the rates of all, again with each node that comes.
+        Rates are forwarded only in that case. Otherwise, while a zone of 90 nodes
+        starts, each new node would cause the rates of all to be sent to all.
         """
         readers = self.readers
         for host, rate in rates.items():
@@ -115,18 +117,18 @@
 
     @property
     def reader_rates(self) -> dict[str, float]:
-        """Return the rates of the readers and this node, as far as they are known."""
+        """Return the known link rates of the readers and this node."""
         included = {*self.readers, self.host}
         return {
             host: self.link_rates[host] for host in included & self.link_rates.keys()
         }
 
     def choose_readers(self) -> None:
-        """Choose the readers: those with the widest links, and of equals by hash.
+        """Choose the nodes with the fastest links as readers; break ties by hash.
 
-        A configuration of 3,300 routes is 440 KB as the platform writes it. A reader on
-        a link of 2.5 Mbit/s takes 1.4 s for each version of a storm, and one on 50
-        Mbit/s 0.07 s; 2.5 s are allowed until the version is in force at all nodes.
+        A configuration of 3,300 routes is 440 KB as the platform writes it. Each
+        version takes a reader 1.4 s on a link of 2.5 Mbit/s and 0.07 s on one of 50
+        Mbit/s, and it has to be in force at all nodes within 2.5 s.
         """
         order = self.widest_first(self.hosts) + self.widest_first(self.leaving)
         self.readers = tuple(order[:READERS_PER_ZONE])
@@ -134,44 +136,45 @@
         self.on_change()
 
     def widest_first(self, hosts: Iterable[str]) -> list[str]:
-        """Return nodes, the one with the widest link first.
+        """Return nodes sorted by link rate, fastest first.
 
-        One that is not known counts as the narrowest that is. Taken for less, each node
-        of a zone whose links are all alike would read for itself until it was told.
+        An unknown rate counts as the slowest known one. If it counted as less, each
+        node would prefer itself until it learned the other rates, and in a zone with
+        equal links every node would read at the start.
         """
         order = rank(self.zone, sorted(hosts))
         narrowest = min(self.link_rates.values())
         return sorted(order, key=lambda host: -self.link_rates.get(host, narrowest))
 
     def confirm(self, as_of: float, answered_at: float | None = None) -> None:
-        """Note that what is known here was current at some time.
+        """Record that this node's state was complete at some time.
 
         Parameters
         ----------
         answered_at : float or None
-            When the store answered whoever told it, if that was later.
+            When the store answered the reader that reports this, if that was later.
         """
         self.complete_as_of = max(self.complete_as_of, as_of)
         answered_at = as_of if answered_at is None else answered_at
         self.confirmed_at = max(self.confirmed_at, answered_at)
 
     def link_up(self, host: str) -> None:
-        """Note that a link to a node stands."""
+        """Record that the link to a node is up."""
         self.unreachable.discard(host)
 
     def link_down(self, host: str) -> None:
-        """Note that the link to a node ended or could not be opened."""
+        """Record that the link to a node ended or could not be opened."""
         if host in self.readers:
             self.unreachable.add(host)
             self.on_change()
 
     @property
     def on_duty(self) -> bool:
-        """Return whether this node reads for others."""
+        """Return whether this node is a reader of its zone."""
         return self.host in self.readers
 
     def must_read(self, now: float) -> bool:
-        """Return whether this node has to read the store now."""
+        """Return whether this node has to read the store itself now."""
         all_unreachable = bool(self.readers) and self.unreachable.issuperset(
             self.readers
         )
@@ -179,17 +182,17 @@
 
     @property
     def primary_reader(self) -> str:
-        """Return the reader that tells this node of a new configuration first.
+        """Return the reader that sends this node a new configuration first.
 
-        Each of two readers does so for half of the zone. One of 1,680 more routes is
-        25 KB to each node: a link of 2.5 Mbit/s takes 2.2 s to tell 27 nodes, where
-        2.5 s are allowed from its acceptance on.
+        Each of the two readers serves half of the zone. A version that adds 1,680
+        routes is 25 KB per node: a single reader on a link of 2.5 Mbit/s would need
+        2.2 s for 27 nodes, of the 2.5 s allowed from the version's acceptance on.
         """
         others = [host for host in self.readers if host != self.host]
         return rank(self.host, others)[0] if others else ""
 
     @property
     def valid_until(self) -> float:
-        """Return until when the readers' last confirmation is believed."""
+        """Return until when the readers' last confirmation is valid."""
         latest = self.complete_as_of + MAX_STALENESS_RATIO * self.act_within
         return min(self.confirmed_at + self.valid_seconds, latest)
--- a/sequoiaspoke/core/mesh/records.py
+++ b/sequoiaspoke/core/mesh/records.py
@@ -1,4 +1,4 @@
-"""What is known at a node of one published endpoint, and of those of a service."""
+"""Records of single endpoints and departures, and the endpoints of a service."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @dataclass(frozen=True)
 class EndpointRecord(Published):
-    """What is known of a published endpoint here."""
+    """A published endpoint and until when this node takes it for cold."""
 
     cold_until: float = 0.0
 
     @property
     def takes_calls(self) -> bool:
-        """Return whether it takes new calls."""
+        """Return whether the endpoint may get new calls."""
         return self.readable and not self.endpoint.draining
 
     def superseded_by(self, endpoint: Endpoint, revision: int) -> bool:
-        """Return whether an entry of the same name is news."""
+        """Return whether an entry of the same instance replaces this one."""
         if endpoint.born != self.endpoint.born:
             return endpoint.born > self.endpoint.born
-        # A published leave is not taken back by a late report of the same start.
+        # A late report of the same incarnation does not revoke its drain.
         returns = self.endpoint.draining and not endpoint.draining
         return revision > self.revision and not returns
 
     def cold_remaining(self, now: float) -> float:
-        """Return how many more seconds the endpoint stays slow."""
+        """Return how many more seconds the endpoint stays cold."""
         return max(0.0, self.cold_until - now)
 
 
 @dataclass(frozen=True)
 class DepartureRecord:
-    """A departure and when it was learnt."""
+    """A departure and when this node learned of it."""
 
     departure: Departure
     learned_at: float
@@ -54,14 +54,14 @@
 
     @classmethod
     def of(cls, endpoints: Iterable[Endpoint]) -> EndpointGroup:
-        """Return endpoints as a group."""
+        """Group endpoints by zone."""
         found = tuple(endpoints)
         zones = {endpoint.zone for endpoint in found}
         by_zone = {zone: tuple(e for e in found if e.zone == zone) for zone in zones}
         return cls(found, by_zone)
 
     def in_zone(self, zone: str) -> tuple[Endpoint, ...]:
-        """Return those of a zone."""
+        """Return the endpoints of a zone."""
         return self.by_zone.get(zone, ())
 
 
