--- a/sequoiaspoke/core/mesh/configdelta.py
+++ b/sequoiaspoke/core/mesh/configdelta.py
@@ -1,9 +1,8 @@
-"""What differs between two versions of the configuration.
+"""Deltas between two versions of the configuration.
 
-A configuration of 1,900 routes is some 140 KB, and most changes touch one route. A
-node beside an upstream may have a link of 2.5 Mbit/s: the whole document would fill
-it for half a second at each change, several times a second in a storm of them. So
-nodes tell each other the difference.
+A configuration of 1,900 routes is about 140 KB, and most changes touch one route. On
+a link of 2.5 Mbit/s the whole document takes half a second, and versions may follow
+each other several times a second. So nodes send each other deltas.
 """
 
 from __future__ import annotations
@@ -16,23 +15,24 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.model import CallerLimits, Route, Service
 
-# Versions kept as bases. Two readers that gather changes see different ones of a
-# storm, and a node that has followed one must find the base of the other's news.
+# Versions kept as bases of deltas. When versions follow each other quickly, two readers
+# see different ones, and a node that followed one reader may need the base of a delta
+# from the other.
 KEPT_VERSIONS = 8
 
 
 @dataclass(frozen=True)
 class ConfigDelta:
-    """The way from one version to a newer one.
+    """The changes from one version to a newer one.
 
     Attributes
     ----------
     base : int
-        The version that this changes; 0 if it is a whole configuration.
+        Version that the delta applies to; 0 if it holds a whole configuration.
     routes : tuple of Route
-        Those that are new or changed.
+        Routes that are new or changed.
     removed : tuple of str
-        Names of the routes that are gone.
+        Names of the routes that were removed.
     """
 
     base: int
@@ -44,7 +44,7 @@
 
 
 def difference(old: MeshConfig | None, new: MeshConfig) -> ConfigDelta:
-    """Return the way from an older version, or from nothing, to a newer one."""
+    """Return the delta from an older version, or from nothing, to a newer one."""
     before = {route.name: route for route in old.routes} if old else {}
     after = {route.name for route in new.routes}
     return ConfigDelta(
@@ -58,16 +58,16 @@
 
 
 def is_changed(before: dict[str, Route], route: Route) -> bool:
-    """Return whether a route is new or changed; most are one object with the old."""
+    """Return whether a route is new or changed; unchanged ones are mostly shared."""
     known = before.get(route.name)
     return known is not route and known != route
 
 
 def share_routes(old: MeshConfig | None, new: MeshConfig) -> MeshConfig:
-    """Return the newer version with the older one's objects for unchanged routes.
+    """Return the newer version, sharing unchanged routes with the older one.
 
-    Otherwise each kept version would hold all its routes once more: 0.7 KB each,
-    1 MB for a version of 1,900 routes.
+    Otherwise each kept version would hold a copy of every route: 0.7 KB each, or 1 MB
+    for a version of 1,900 routes.
     """
     if old is None:
         return new
@@ -81,12 +81,12 @@
 
 
 class ConfigHistory:
-    """The version in force and a few before it.
+    """The newest version and a few before it.
 
     Attributes
     ----------
     changed_routes : int
-        Routes that are new or changed in it.
+        Number of routes that are new or changed in the newest version.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self.changed_routes = 0
 
     def install(self, config: MeshConfig) -> MeshConfig | None:
-        """Take a whole version if it is newer; return what is now in force of it."""
+        """Install a version if it is newer; return it with shared routes, else None."""
         if not self.is_newer(config):
             return None
         shared = share_routes(self.newest, config)
@@ -103,27 +103,28 @@
         return self.keep(shared)
 
     def is_newer(self, config: MeshConfig) -> bool:
-        """Return whether a version comes after all that were taken."""
+        """Return whether a version is newer than all installed ones."""
         return self.newest is None or config.version > self.newest.version
 
     def keep(self, config: MeshConfig) -> MeshConfig:
-        """Take a newer version that shares what it can with those before."""
+        """Store a newer version and drop the oldest beyond the limit."""
         self.newest = self.versions[config.version] = config
         while len(self.versions) > KEPT_VERSIONS:
             del self.versions[min(self.versions)]
         return self.newest
 
     def delta_since(self, version: int) -> ConfigDelta | None:
-        """Return the way from a version that another node has to the newest.
+        """Return the delta from another node's version to the newest one.
 
-        None if there is nothing to tell; all of it if that version is not kept here.
+        None if there is nothing newer. A whole configuration if that version is not
+        kept here.
         """
         if self.newest is None or version >= self.newest.version:
             return None
         return difference(self.versions.get(version), self.newest)
 
     def apply(self, delta: ConfigDelta) -> MeshConfig:
-        """Take the newer version to which a delta leads; KeyError without its base."""
+        """Apply a delta and return the new version; KeyError if its base is missing."""
         routes: dict[str, Route] = {}
         if delta.base:
             base = self.versions[delta.base]
@@ -134,6 +135,6 @@
         config = MeshConfig(
             delta.version, tuple(routes.values()), delta.services, delta.limits
         )
-        # A delta's routes are those that differ; the others are the base's own.
+        # The delta lists only changed routes; all others are shared with the base.
         self.changed_routes = len(delta.routes)
         return self.keep(config)
--- a/sequoiaspoke/core/mesh/crashes.py
+++ b/sequoiaspoke/core/mesh/crashes.py
@@ -1,8 +1,9 @@
-"""Keep under which requests upstreams have ended.
+"""Record which requests ran at upstreams when they crashed.
 
-Each crash is reported once, by the node beside the upstream, and told to all nodes.
-Reports are merged: what two nodes know of one crash adds up to the same, in whatever
-order and however often they tell each other, also after a cut.
+The node beside an upstream reports each crash once, and the report is forwarded to all
+nodes. Reports of one crash are merged. Merging is commutative and idempotent, so nodes
+converge in whatever order and however often they exchange reports, also after a
+network partition.
 """
 
 from __future__ import annotations
@@ -14,32 +15,32 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Seconds for which a crash is remembered, and one that a single suspect has caused.
+# Seconds for which a crash is remembered, and one that a single suspect caused.
 KEEP_SECONDS, PROVEN_KEEP_SECONDS = 600.0, 7200.0
-# Crashes that are remembered at most; an upstream that cannot stay up for other reasons
-# would fill the memory of every node.
+# Limit of the remembered crashes, as an upstream that crashes for other reasons would
+# otherwise fill the memory of every node.
 MAX_CRASHES = 300
 
 
 @dataclass(frozen=True)
 class Crash:
-    """The end of an upstream under the requests that it ran.
+    """A crash of an upstream and the requests that it ran at that time.
 
     Attributes
     ----------
     name : str
-        What tells it from all other crashes. An upstream may end twice before the
-        platform has told of its second start.
+        Unique name of the crash. The instance does not suffice: an upstream may crash
+        twice before the platform reports its second start.
     instance : str
-        The upstream that ended.
+        The upstream that crashed.
     at : float
-        When, by this node's clock.
+        Time of the crash by this node's clock.
     suspects : frozenset of str
         Fingerprints of the requests that ran there.
     proven : frozenset of str
-        The one that was under suspicion before, if there was only one.
+        The request that was a suspect before, if there was exactly one.
     cleared : frozenset of str
-        Those that an upstream of the service has answered since.
+        Requests that an upstream of the service has answered since.
     """
 
     name: str
@@ -51,7 +52,7 @@
     cleared: frozenset[str] = frozenset()
 
     def merged(self, other: Crash) -> Crash:
-        """Return what two reports of the crash say together."""
+        """Return the union of two reports of the crash."""
         return replace(
             self,
             suspects=self.suspects | other.suspects,
@@ -61,30 +62,30 @@
 
     @property
     def uncleared(self) -> frozenset[str]:
-        """Return the suspects that were not cleared."""
+        """Return the suspects that have not been cleared."""
         return self.suspects - self.cleared
 
     @property
     def uncleared_proven(self) -> frozenset[str]:
-        """Return the suspects that are proven and were not cleared."""
+        """Return the proven requests that have not been cleared."""
         return self.proven - self.cleared
 
     def is_expired(self, now: float) -> bool:
-        """Return whether the crash is too long ago to count."""
+        """Return whether the crash is too old to be remembered."""
         kept = PROVEN_KEEP_SECONDS if self.uncleared_proven else KEEP_SECONDS
         return now - self.at > kept
 
 
 class Crashes:
-    """The crashes that this node knows.
+    """The crashes that this node remembers.
 
     Attributes
     ----------
     known : dict of str to Crash
         By name.
     by_request : dict of (str, str) to set of str
-        Names of the crashes of which a request is a suspect, by service and
-        fingerprint.
+        Names of the crashes in which a request is an uncleared suspect, by service
+        and fingerprint.
     """
 
     def __init__(self) -> None:
@@ -93,12 +94,12 @@
         self.cached_checksum: int | None = 0
 
     def for_request(self, service: str, fingerprint: str) -> list[Crash]:
-        """Return the crashes of which a request is a suspect."""
+        """Return the crashes in which a request is an uncleared suspect."""
         names = self.by_request.get((service, fingerprint), ())
         return [self.known[name] for name in names]
 
     def add(self, crash: Crash, now: float) -> Crash | None:
-        """Take a report; return all that is known of the crash if that is news."""
+        """Merge a report; return the merged crash if it changed, else None."""
         known = self.known.get(crash.name)
         merged = crash if known is None else known.merged(crash)
         if merged == known or merged.is_expired(now):
@@ -112,7 +113,7 @@
         return self.known.get(crash.name)
 
     def clear(self, service: str, fingerprint: str) -> list[Crash]:
-        """Clear a request that was answered; return the crashes with it cleared."""
+        """Clear a request that was answered; return the crashes that changed."""
         changed = [
             replace(crash, cleared=crash.cleared | {fingerprint})
             for crash in self.for_request(service, fingerprint)
@@ -122,12 +123,12 @@
         return changed
 
     def expire(self, now: float) -> None:
-        """Forget what is too long ago."""
+        """Forget the crashes that are too old."""
         for crash in [each for each in self.known.values() if each.is_expired(now)]:
             self.drop(crash.name)
 
     def store(self, crash: Crash) -> None:
-        """Keep a crash in place of what was known of it."""
+        """Store a crash, replacing an earlier record of it."""
         self.drop(crash.name)
         self.known[crash.name] = crash
         for fingerprint in crash.uncleared:
@@ -150,7 +151,7 @@
 
     @property
     def checksum(self) -> int:
-        """Return a number that two nodes share only if they know the same."""
+        """Return a checksum of the remembered crashes, to compare nodes by."""
         if self.cached_checksum is None:
             lines = sorted(map(canonical_text, self.known.values()))
             self.cached_checksum = zlib.crc32("\n".join(lines).encode())
@@ -158,7 +159,7 @@
 
 
 def canonical_text(crash: Crash) -> str:
-    """Return what nodes have to agree on of a crash."""
+    """Return the parts of a crash that are the same at all nodes, as text."""
     parts: tuple[Iterable[str], ...] = (crash.suspects, crash.proven, crash.cleared)
     lists = [",".join(sorted(part)) for part in parts]
     return " ".join([crash.name, *lists])
--- a/sequoiaspoke/core/mesh/evacuation.py
+++ b/sequoiaspoke/core/mesh/evacuation.py
@@ -1,11 +1,11 @@
-"""Keep which availability zones are evacuated.
-
-Operators evacuate a zone before they work on it: from then on no call may be sent to an
-upstream there, until they take it back. Each order is an item of the store of its own;
-it ends when the item is deleted. Of two words on a zone that with the later revision
-counts. One that is missing in a list has ended only if the list is more recent than
-the order: a node that lags neither ends one that it has not heard of nor brings one
-back that has ended.
+"""Track which availability zones are evacuated.
+
+Operators evacuate a zone before they work on it: from then on no call may be sent to
+an upstream there, until they end the evacuation. Each order is a separate item of the
+store and ends when the item is deleted. Of two orders for a zone the one with the
+higher revision wins. An order that is missing in a list has ended only if the list is
+more recent than the order, so a lagging node can neither end an order that it has not
+seen yet nor restore one that has ended.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Zones that are kept at most; somebody else may write items without end.
+# Limit of the zones kept in memory, as another writer may write any number of items.
 MAX_ZONES = 1000
 
 
 @dataclass(frozen=True)
 class Evacuation:
-    """The order to send nothing to the upstreams of a zone, or its end.
+    """An order to send no calls to the upstreams of a zone, or the end of one.
 
     Attributes
     ----------
     revision : int
-        Revision of the store at which it was written or deleted.
+        Revision of the store at which the item was written or deleted.
     """
 
     zone: str
@@ -36,19 +36,19 @@
 
 
 class Evacuations:
-    """The last order of each zone that this node knows.
+    """The last order of each zone.
 
-    Those that have ended are kept: a zone that was empty for a moment is cold after
-    it, and old news must not bring the order back.
+    Orders that have ended are kept: a zone is cold after even a short evacuation, and
+    an outdated message must not restore the order.
 
     Attributes
     ----------
     latest : dict of str to Evacuation
         By zone.
     complete_to : int
-        Revision of the store up to which every order is known here.
+        Revision up to which this node has seen every order in the store.
     serial : int
-        Count of the changes made here.
+        Number of changes so far.
     """
 
     def __init__(self) -> None:
@@ -58,22 +58,22 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """Return the zones that are evacuated."""
+        """Return the zones that are evacuated now."""
         return frozenset(zone for zone, each in self.latest.items() if not each.ended)
 
     def end_revision(self, zone: str) -> int:
-        """Return the revision at which a zone was taken back, 0 if it was not."""
+        """Return the revision at which a zone's evacuation ended, 0 if it did not."""
         known = self.latest.get(zone)
         return known.revision if known is not None and known.ended else 0
 
     def apply(self, evacuation: Evacuation) -> bool:
-        """Take an order or its end; return whether that is news."""
+        """Apply an order or its end; return whether it changed anything."""
         known = self.latest.get(evacuation.zone)
         if known is not None and known.revision >= evacuation.revision:
             return False
         if known is None and evacuation.revision <= self.complete_to:
-            # It has ended, as another node told while this one read. Its end would
-            # not be told again, and the zone would stay empty for good.
+            # The order has ended before. Its end would not be sent again, so the zone
+            # would stay evacuated forever.
             return False
         if known is None and len(self.latest) >= MAX_ZONES:
             return False
@@ -82,13 +82,13 @@
         return True
 
     def end_missing(self, active: Iterable[str], revision: int) -> None:
-        """End the orders that a list of all that stood at a revision lacks."""
+        """End the orders that are missing in a complete list read at a revision."""
         missing = self.zones.difference(active)
         for zone in sorted(missing):
             self.apply(Evacuation(zone, revision, ended=True))
 
     def apply_list(self, listed: Iterable[Evacuation], revision: int) -> None:
-        """Take all that another node knows, complete up to a revision."""
+        """Apply another node's complete list of orders, as of a revision."""
         received = tuple(listed)
         for each in received:
             self.apply(each)
--- a/sequoiaspoke/core/mesh/knowledge.py
+++ b/sequoiaspoke/core/mesh/knowledge.py
@@ -1,4 +1,4 @@
-"""What one node tells another of the platform."""
+"""State of the platform as one node sends it to another."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 @dataclass(frozen=True)
 class Knowledge:
-    """What a node knows, or what has changed in it.
+    """A snapshot of a node's state, or the changes since an earlier one.
 
     Attributes
     ----------
     revision : int
-        Revision of the store up to which this goes.
+        Revision of the store that this reflects.
     as_of : float
-        When that was current, by the clock of the node that holds this.
+        When that was current, by the local node's clock.
     whole : bool
-        Whether these are all endpoints; one that is not here has left.
+        Whether the endpoints are a complete list; a missing one has departed.
     gone : tuple of Departure
-        Instances that left.
+        Instances that departed.
     lapsing : tuple of Departure
-        Instances whose entries vanished as the teller thought the store to have been
-        away; who is told judges by what it knows of the store.
+        Instances whose entries vanished around an outage of the store as the sender saw
+        it; the receiver decides by its own view of the store whether to keep them.
     config : ConfigDelta or None
         None if the configuration has not changed.
     evacuations : tuple of Evacuation or None
-        The last order of each zone; None if nothing is told of them.
+        The last order of each zone; None if the message does not list them.
     """
 
     revision: int
