--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -1,4 +1,4 @@
-"""Whole sidecars on a virtual clock beside upstreams that some requests crash."""
+"""Simulation of whole sidecars beside upstreams that some requests crash."""
 
 import asyncio
 import itertools
@@ -20,18 +20,18 @@
 
 SERVICE = "fleet"
 READ, ORDER = "read", "order"
-# Seconds for which callers wait, and attempts that each makes.
+# Seconds for which callers wait, and attempts that each of them makes.
 CALLER_TIMEOUT, CALLER_ATTEMPTS = 2.5, 2
-# Seconds of an ordinary call, and until a request that crashes its upstream does so.
+# Seconds that an ordinary call takes, and until a crashing request takes effect.
 SERVICE_SECONDS, CRASH_DELAY = (0.1, 0.3), 0.05
-# Seconds until a crashed upstream is back, and until the store drops its entry.
+# Seconds until a crashed upstream has restarted, and until the store drops its entry.
 RESTART_SECONDS, ENTRY_LIFETIME = (2.0, 3.5), 1.5
-# Seconds after the third crash from which further runs count, and how many may follow.
+# Seconds after the third crash from which further runs count, and their limit.
 DETECTION_SECONDS, MAX_LATER_RUNS = 3.0, 3
 
 
 class CrashItems(Items):
-    """The same items, with one route for reads and one for orders."""
+    """Decodes items; each version has one route for reads and one for orders."""
 
     def config(self, value):
         version = int(value.decode().split(",")[0])
@@ -44,7 +44,7 @@
 
 
 class CrashingUpstream:
-    """An upstream that ends under some requests and starts anew."""
+    """An upstream that some requests crash and that restarts after it."""
 
     told_load = None
 
@@ -56,7 +56,7 @@
         self.start()
 
     def start(self):
-        """Start under another name and tell the store."""
+        """Start under a new instance name and register in the store."""
         self.up = True
         self.instance = f"{self.zone}/{self.host}/{next(self.count)}"
         self.world.store.put(self.instance, b"0")
@@ -87,7 +87,7 @@
         return not self.up
 
     def crash(self, target="", instance=None):
-        """End; all that runs is lost."""
+        """Crash; all running calls are lost."""
         if not self.up or instance not in (None, self.instance):
             return
         self.up = False
@@ -106,7 +106,7 @@
 
 
 class CrashNode(SpreadNode):
-    """A sidecar beside an upstream that outlives it."""
+    """A sidecar beside an upstream that keeps running when the sidecar is killed."""
 
     decoder = CrashItems
 
@@ -122,12 +122,12 @@
 
 
 class CrashWorld(SpreadWorld):
-    """A world with callers, of whom some ask for what crashes upstreams.
+    """A world with callers, some of which send requests that crash upstreams.
 
     Attributes
     ----------
     crashing : set of str
-        Targets of the requests that crash each upstream which begins to run them.
+        Targets of the requests that crash each upstream that starts to run them.
     """
 
     nodes_per_zone = 3
@@ -159,7 +159,7 @@
     # Callers.
 
     async def call(self, target, attempts=CALLER_ATTEMPTS, zone=None):
-        """Make a call as its caller does; return whether it was served."""
+        """Make a call with a caller's retries; return whether it was served."""
         end = self.now() + CALLER_TIMEOUT
         for _ in range(attempts):
             left = end - self.now()
@@ -167,8 +167,8 @@
             if answer is not None and answer.status == 200:
                 return True
             if answer is not None and answer.status == 503:
-                told = float(find_header(answer.headers, "retry-after") or 0)
-                await asyncio.sleep(min(told, left / 3))
+                retry_after = float(find_header(answer.headers, "retry-after") or 0)
+                await asyncio.sleep(min(retry_after, left / 3))
             elif target.startswith(f"/{ORDER}/"):
                 return False
         return False
@@ -206,7 +206,7 @@
         return self.request(target).fingerprint
 
     async def vary_requests(self, seconds, rate):
-        """Let callers come who ask for something else each."""
+        """Let callers arrive that each send a different request."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
@@ -222,7 +222,7 @@
             self.served.append((begun, served))
 
     async def send_crashing(self, target, seconds, pause=0.3, zone=None):
-        """Let callers ask for what crashes upstreams again and again."""
+        """Let callers send one request that crashes upstreams again and again."""
         self.crashing.add(target)
         callers = []
         end = self.now() + seconds
@@ -232,7 +232,7 @@
         await asyncio.gather(*callers)
 
     async def send_popular(self, target, seconds, rate=40.0):
-        """Let callers ask for the same, which crashes nothing."""
+        """Let callers send one harmless request again and again."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
@@ -253,10 +253,10 @@
             if (first.zone, second.zone) == (zone, other)
         }
 
-    # What nodes know.
+    # State of the nodes.
 
     def held_requests(self):
-        """Return all that some node holds back."""
+        """Return the requests that some node holds back."""
         return {
             request
             for node in self.nodes.values()
@@ -266,7 +266,7 @@
         }
 
     def proven(self):
-        """Return all that some node takes for proven."""
+        """Return the fingerprints that some node takes for proven."""
         return {
             fingerprint
             for node in self.nodes.values()
@@ -275,7 +275,7 @@
         }
 
     async def track_longest_hold(self):
-        """Note for how long anything is held back at most."""
+        """Record the longest time for which any request is held back."""
         while True:
             for node in self.nodes.values():
                 held = node.sidecar.home.suspicion.quarantine.held_requests(self.now())
@@ -283,9 +283,9 @@
             await asyncio.sleep(0.05)
 
     def check_equal(self, found, expected):
-        """Note a problem unless two things are equal."""
+        """Record a problem unless two values are equal."""
         if found != expected:
-            self.problems.append(f"{found} in place of {expected}")
+            self.problems.append(f"{found} instead of {expected}")
 
     def check_same_checksum(self):
         known = {
@@ -293,9 +293,9 @@
             for node in self.nodes.values()
         }
         if len(known) > 1:
-            self.problems.append(f"{len(known)} views of what has crashed")
+            self.problems.append(f"{len(known)} different states of the crashes")
 
-    # The whole.
+    # Run and final checks.
 
     async def play(self, scenario):
         self.start()
@@ -320,6 +320,6 @@
                 )
 
     def served_read_ratio(self, since, until):
-        """Return the share of the ordinary reads of some seconds that were served."""
+        """Return which share of the ordinary reads of a time span was served."""
         served = [ok for begun, ok in self.served if since <= begun < until]
         return sum(served) / len(served)
--- a/sequoiaspoke/tests/evacuationsim.py
+++ b/sequoiaspoke/tests/evacuationsim.py
@@ -1,4 +1,4 @@
-"""Worlds of `spreadsim` in which zones are evacuated and taken back."""
+"""Worlds of `spreadsim` with evacuations of zones."""
 
 import asyncio
 import random
@@ -12,9 +12,10 @@
 
 
 class EvacuationWorld(SpreadWorld):
-    """A world in which zones are evacuated and taken back as well.
+    """A world with random evacuations.
 
-    They are drawn apart, so that all else is as in the world without.
+    They have a random generator of their own, so that everything else is as in the
+    world without them.
     """
 
     def __init__(self, seed):
@@ -39,7 +40,7 @@
         await asyncio.gather(*tasks)
 
     def is_evacuated(self, zone, revision, expected):
-        """Return how to see a change, unless another has followed it."""
+        """Return a check of a node's state, which passes after a later change."""
 
         def check(state):
             later = [
@@ -55,7 +56,7 @@
 
 
 class ScriptedWorld(SpreadWorld):
-    """A world in which only what a test scripts happens."""
+    """A world without random changes and faults, driven by a test's script."""
 
     def __init__(self, seed, script):
         super().__init__(seed)
@@ -77,7 +78,7 @@
         self.write(zone, None, False)
 
     def write(self, zone, value, expected):
-        """Write or delete an order and check that every calm node acts on it."""
+        """Write or delete an order; check that every node without faults acts on it."""
         self.store.put(EVACUATION_PREFIX + zone, value)
 
         def check(state):
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -1,7 +1,7 @@
-"""Sidecars that follow a store on a virtual clock, with faults drawn from a seed.
+"""Simulation of sidecars that follow a store, with random faults.
 
-Sidecars are put together as the program does it; the store, the connections between
-nodes and the loop's clock are played. One seed gives one history.
+The sidecars are assembled as in the program; the store, the connections between nodes
+and the clock of the event loop are simulated. A run is determined by its seed.
 """
 
 import asyncio
@@ -31,17 +31,18 @@
 ZONES = ("akaki", "bole")
 EVACUATION_PREFIX = "evacuate/"
 NODES_PER_ZONE = 4
-# Within so many seconds a node acts on a change, if it and the store were calm from so
-# many seconds before on.
+# Seconds within which a node has to act on a change, and seconds before the change from
+# on which the node and the store must have had no fault for the check to count.
 ACT_SECONDS, CALM_SECONDS = 2.0, 3.0
-# Changes that a history checks at least; one in which faults follow closely goes on.
+# Checks that a run needs at least; a run with too many faults to check is prolonged.
 MIN_CHECKS = 10
-# Seconds after which a read, and a wait beyond its own length, are given up.
+# Timeouts of a read, of a wait for changes beyond its length, which is the same, and of
+# a confirmation, in seconds.
 READ_SECONDS, WAIT_SECONDS, CONFIRM_SECONDS = 1.5, 10.0, 0.6
 
 
 class Items(ItemDecoder):
-    """An endpoint's value is whether it drains, a configuration's its routes."""
+    """Decodes items: an endpoint's drain flag and a configuration's route names."""
 
     def kind(self, key):
         if key.startswith(EVACUATION_PREFIX):
@@ -115,7 +116,7 @@
         self.world, self.host = world, host
 
     async def reach(self, seconds):
-        """Wait as a call over the network does; raise StoreError without an answer."""
+        """Simulate the network; raise StoreError if the store does not answer."""
         await asyncio.sleep(self.world.delay())
         store = self.world.store
         if store.mode == "failing":
@@ -141,7 +142,7 @@
             except TimeoutError:
                 break
             if dropped_waits != store.dropped_waits:
-                # Cut without a word.
+                # The connection was dropped without a reset.
                 await asyncio.sleep(WAIT_SECONDS)
                 raise StoreError("no answer in time")
             if store.waits_stalled:
@@ -182,7 +183,7 @@
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
-        # In order, so that one seed gives one history.
+        # A dict keeps its order, so that runs of one seed are equal.
         self.tasks = {}
         self.start()
 
@@ -215,7 +216,7 @@
             self.versions.append(self.sidecar.state.version)
 
     def kill(self):
-        """End as a killed process does: nothing is said, connections reset."""
+        """End like a killed process: send nothing, reset the connections."""
         self.up = False
         for link in list(self.server.links):
             link.frames.close()
@@ -226,7 +227,7 @@
 
 
 class SpreadWorld:
-    """A store, the nodes that follow it, faults, and what was promised."""
+    """A store and the nodes that follow it, with changes, faults and checks."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -259,7 +260,7 @@
         return (one, other) in self.cuts or (other, one) in self.cuts
 
     def note_fault(self, name):
-        """Note that a node or the store is not calm at this moment."""
+        """Record that a node or the store has a fault now."""
         self.last_fault_at[name] = self.now()
 
     # Changes.
@@ -272,15 +273,15 @@
         self.store.put("config", text.encode())
 
     def change_endpoint(self):
-        """Let an upstream drain, leave or start anew; return how to see it."""
+        """Let an upstream drain, depart or start; return a check of a node's state."""
         host = self.rng.choice(list(self.nodes))
         zone = host.split("-")[0]
         here = [key for key in self.store.items if key.startswith(f"{zone}/{host}/")]
         if not here:
             key = f"{zone}/{host}/{self.rng.randrange(10**6)}"
             self.store.put(key, b"0")
-            # It may have left again by the time of the check. Where the store dropped
-            # its history meanwhile, a node that read all anew never heard of it.
+            # It may have departed again by the time of the check. If the store dropped
+            # its history meanwhile, a node that read the whole store never saw it.
             return lambda state: (
                 key in state.directory.records
                 or state.directory.is_leaving(Incarnation(key))
@@ -290,8 +291,8 @@
             self.store.put(here[0], b"1")
         else:
             self.store.put(here[0], None)
-        # One that joined and left while the store dropped its history is not known as
-        # gone at a node that read all anew; it is not held there and gets no calls.
+        # A node that read the whole store after its history was dropped knows nothing
+        # of an endpoint that joined and departed meanwhile; it has no record of it.
         return lambda state: (
             state.directory.is_leaving(Incarnation(here[0]))
             or here[0] not in state.directory.records
@@ -317,7 +318,7 @@
         return lambda state: state.version >= expected
 
     async def check_applied(self, check):
-        """Check that every calm node acts on a change in time."""
+        """Check that every node without faults acts on a change in time."""
         made = self.now()
         await asyncio.sleep(ACT_SECONDS)
         for host, node in self.nodes.items():
@@ -372,7 +373,7 @@
             node.start()
 
     async def cut_store(self):
-        """Cut some nodes off from the store, without a word."""
+        """Cut some nodes off from the store without resetting connections."""
         hosts = self.rng.sample(list(self.nodes), self.rng.choice((1, 2, 4)))
         hosts = [host for host in hosts if host not in self.cut_from_store]
         self.cut_from_store.update(hosts)
@@ -393,7 +394,7 @@
         self.cuts -= pairs
 
     async def stall_links(self):
-        """Let a few links lie dead without a word; for the rules a reset of all."""
+        """Let a few links drop all data silently; counts as a fault of every node."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
@@ -410,7 +411,7 @@
         self.note_fault("store")
 
     async def compact(self):
-        """Let waits hear nothing for a second, drop the history and cut them."""
+        """Stall waits for a second, drop the history and drop the waits silently."""
         if self.store.waits_stalled:
             return
         self.store.waits_stalled = True
@@ -423,7 +424,7 @@
         self.store.compacted_revision = self.store.revision
         self.store.events.clear()
 
-    # The whole.
+    # Run and final checks.
 
     async def play(self, seconds=40.0):
         self.start()
@@ -435,7 +436,7 @@
         self.check_final_state()
         for node in self.nodes.values():
             node.kill()
-        # Tasks that were cancelled end in a few turns of the loop.
+        # Cancelled tasks end within a few iterations of the loop.
         await asyncio.sleep(0.1)
 
     def check_final_state(self):
@@ -459,5 +460,5 @@
 
 
 def play(seed, case, world=SpreadWorld, **options):
-    """Play a seed and return the world."""
+    """Run a seed and return the world."""
     return play_world(lambda: world(seed), case, **options)
--- a/sequoiaspoke/tests/test_evacuation_sim.py
+++ b/sequoiaspoke/tests/test_evacuation_sim.py
@@ -1,4 +1,4 @@
-"""Evacuations beside one fault each, by whole nodes on a virtual clock."""
+"""Simulations of evacuations that coincide with one fault each."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def evacuate_during_updates(world):
-    """Empty and take back zones while versions come ten times a second."""
+    """Begin and end evacuations while ten versions a second are published."""
     for number in range(40):
         world.publish()
         if number == 15:
@@ -30,16 +30,16 @@
     await world.settle()
 
 
-class EvacuationBesideTests(TestCase):
+class EvacuationFaultTests(TestCase):
     def check_seeds(self, script):
         for seed in range(4):
             world = play(seed, self, lambda seed: ScriptedWorld(seed, script))
             self.assertEqual((seed, world.problems), (seed, []))
         return world
 
-    def test_two_zones_are_emptied_at_once(self):
-        # Both zones are emptied, one after the other in no time, and taken back the
-        # other way round. A node that kept one order for all would lose the first.
+    def test_two_zones_are_evacuated_at_once(self):
+        # Both zones are evacuated at the same time, and the evacuations end in reverse
+        # order. A node that kept a single order for all zones would lose the first.
         async def script(world):
             world.evacuate(AKAKI)
             world.evacuate(BOLE)
@@ -51,9 +51,9 @@
 
         self.check_seeds(script)
 
-    def test_a_zone_is_emptied_while_its_readers_are_cut_off(self):
-        # The two nodes that read for a zone lose the store just before the order. The
-        # others would wait for their word while calls go on to the zone.
+    def test_evacuation_while_the_readers_are_cut_off(self):
+        # The two readers of a zone lose the store just before the order. The others
+        # would wait for them while calls go on to the zone.
         async def script(world):
             hosts = world.readers(AKAKI)
             world.cut_from_store.update(hosts)
@@ -68,8 +68,8 @@
 
         self.check_seeds(script)
 
-    def test_a_zone_is_emptied_as_its_readers_are_killed(self):
-        # They may have read the order and told nobody.
+    def test_evacuation_while_the_readers_are_killed(self):
+        # They may have read the order and not forwarded it.
         async def script(world):
             world.evacuate(AKAKI)
             await world.kill_these(world.readers(AKAKI))
@@ -80,9 +80,9 @@
 
         self.check_seeds(script)
 
-    def test_a_zone_is_emptied_and_taken_back_within_a_second(self):
-        # Whoever reads between the two, or after both, has to know that the zone may be
-        # cold now, and that it is in use.
+    def test_an_evacuation_shorter_than_a_second(self):
+        # Whether a node reads between the two changes or after both, it has to know
+        # that the zone is in use again and may be cold.
         async def script(world):
             world.evacuate(AKAKI)
             await asyncio.sleep(world.rng.uniform(0.0, 0.9))
@@ -90,18 +90,18 @@
             await world.settle()
             for host, node in world.nodes.items():
                 if not node.sidecar.state.evacuations.end_revision(AKAKI):
-                    world.problems.append(f"{host}: heard nothing of it")
+                    world.problems.append(f"{host}: missed the evacuation")
 
         self.check_seeds(script)
 
-    def test_a_zone_is_emptied_in_a_storm_of_versions(self):
-        # Readers look at the newest version only. An order between two of them must not
-        # be left out.
+    def test_evacuation_during_frequent_updates(self):
+        # Readers skip to the newest version. They must not skip an order that was
+        # written between two versions.
         self.check_seeds(evacuate_during_updates)
 
-    def test_a_read_in_a_storm_that_leaves_the_orders_out_is_noticed(self):
-        # The safeguard switched off: what was written between two versions is passed
-        # over, and its revision is behind every later read.
+    def test_a_read_that_skips_orders_is_detected(self):
+        # Without the guard, items between two versions are skipped and never read, as
+        # every later read starts at a higher revision.
         catch_up = NodeStore.catch_up
 
         async def versions_only(self, after):
@@ -117,8 +117,8 @@
         world = play(1, self, lambda seed: ScriptedWorld(seed, evacuate_during_updates))
         self.assertTrue(any("not acted on" in each for each in world.problems))
 
-    def test_a_zone_is_taken_back_while_the_store_drops_its_history(self):
-        # The end of the order is in the part that was dropped; nobody is told of it.
+    def test_an_evacuation_ends_while_the_store_drops_its_history(self):
+        # The deletion of the order is in the dropped part, so no node reads it.
         async def script(world):
             world.evacuate(AKAKI)
             await world.settle()
@@ -132,8 +132,9 @@
 
         self.check_seeds(script)
 
-    def test_a_node_that_loses_touch_keeps_what_it_knew(self):
-        # The store goes away after the order. Nobody may take the silence for its end.
+    def test_evacuations_stay_during_an_outage_of_the_store(self):
+        # The store becomes unavailable after the order. No node may take this for the
+        # end of the evacuation.
         async def script(world):
             world.evacuate(AKAKI)
             await world.settle()
@@ -141,7 +142,7 @@
             await asyncio.sleep(5.0)
             for host, node in world.nodes.items():
                 if AKAKI not in node.sidecar.state.evacuations.zones:
-                    world.problems.append(f"{host}: forgot it")
+                    world.problems.append(f"{host}: dropped the evacuation")
             world.store.mode = "up"
             world.note_fault("store")
             await world.settle()
--- a/sequoiaspoke/tests/test_mesh_crashing.py
+++ b/sequoiaspoke/tests/test_mesh_crashing.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams which run them, on a virtual clock."""
+"""Simulations of requests that crash the upstreams that run them."""
 
 import asyncio
 import os
@@ -15,13 +15,13 @@
 from sequoiaspoke.tests.meshsim import play_world
 
 SEEDS = range(int(os.environ.get("CRASH_SEEDS", "4")))
-MAX_SEEDS = 12  # seeds of which one at least catches a safeguard that is switched off
+MAX_SEEDS = 12  # seeds of which at least one must show that a guard is disabled
 CRASH, POPULAR = "/read/crash", "/read/popular"
 
 
 class CrashCase(TestCase):
     def check_seeds(self, scenario, seeds=SEEDS, **options):
-        """Play a scenario with several seeds and return the last world."""
+        """Run a scenario with several seeds and return the last world."""
         for seed in seeds:
             world = play_world(
                 lambda seed=seed: CrashWorld(seed, **options), self, scenario=scenario
@@ -31,8 +31,8 @@
 
 
 class CrashingRequestTests(CrashCase):
-    def test_a_request_that_crashes_upstreams_is_not_run_again_and_again(self):
-        # Guards against a repeated request that ends one upstream after the other.
+    def test_a_crashing_request_is_not_run_again_and_again(self):
+        # Guards against a repeated request that crashes one upstream after the other.
         async def scenario(world):
             await asyncio.gather(
                 world.vary_requests(15.0, 20.0), world.send_crashing(CRASH, 15.0)
@@ -40,8 +40,8 @@
 
         self.check_seeds(scenario)
 
-    def test_an_order_that_crashes_upstreams_is_not_run_again_and_again(self):
-        # Guards against repeats that only callers make, as no entry does.
+    def test_a_crashing_order_is_not_run_again_and_again(self):
+        # Guards against repetition by callers alone, as an entry retries no order.
         async def scenario(world):
             order = "/order/crash"
             await asyncio.gather(
@@ -50,8 +50,8 @@
 
         self.check_seeds(scenario)
 
-    def test_requests_that_crash_upstreams_at_the_same_time_are_all_found(self):
-        # Guards against one such request that hides another.
+    def test_several_crashing_requests_are_all_found(self):
+        # Guards against one crashing request that hides another.
         async def scenario(world):
             await asyncio.gather(
                 world.vary_requests(20.0, 20.0),
@@ -74,8 +74,8 @@
 
         self.check_seeds(scenario)
 
-    def test_nodes_that_were_killed_know_it_when_they_are_back(self):
-        # Guards against nodes that start anew and run it as if for the first time.
+    def test_restarted_nodes_learn_earlier_crashes(self):
+        # Guards against restarted nodes that run the request as if for the first time.
         async def scenario(world):
             async def kill_half():
                 for number in (0, 1, 2):
@@ -93,8 +93,8 @@
 
         self.check_seeds(scenario)
 
-    def test_what_the_sides_of_a_cut_found_out_adds_up_when_it_ends(self):
-        # Guards against a side that goes on by what it knew before the cut.
+    def test_crashes_on_both_sides_of_a_partition_are_merged(self):
+        # Guards against a side of a partition that keeps its own state after it heals.
         async def scenario(world):
             akaki, bole = world.zones
 
@@ -114,8 +114,8 @@
 
         self.check_seeds(scenario)
 
-    def test_a_side_of_a_cut_that_saw_none_of_it_learns_of_it_afterwards(self):
-        # Guards against nodes that are told of a crash only while it is news.
+    def test_crashes_on_one_side_of_a_partition_reach_the_other(self):
+        # Guards against nodes that are sent a crash report only when it is new.
         async def scenario(world):
             akaki, bole = world.zones
             world.cut_zones(akaki, bole)
@@ -128,8 +128,8 @@
 
 
 class HeldRequestTests(CrashCase):
-    def test_its_callers_are_refused_at_once_and_told_when_to_come_back(self):
-        # Guards against callers who wait, or come back for nothing.
+    def test_its_callers_are_refused_at_once_with_retry_after(self):
+        # Guards against callers that wait, or that return before the hold is over.
         async def scenario(world):
             await world.send_crashing(CRASH, 5.0)
             for zone in world.zones:
@@ -143,8 +143,8 @@
 
         self.check_seeds(scenario)
 
-    def test_it_is_served_again_once_it_crashes_nothing(self):
-        # Guards against a request that is refused for good after it was mended.
+    def test_it_is_served_again_once_it_crashes_no_upstream(self):
+        # Guards against a request that is still refused after the fault was fixed.
         async def scenario(world):
             await world.send_crashing(CRASH, 5.0)
             world.crashing.clear()
@@ -161,7 +161,7 @@
 
 class InnocentRequestTests(CrashCase):
     def check_longest_hold(self, faults, seconds):
-        """Check that nothing is ever held back for longer than some seconds."""
+        """Check that no request is held back for longer than some seconds."""
 
         async def scenario(world):
             tracker = asyncio.ensure_future(world.track_longest_hold())
@@ -178,7 +178,7 @@
         self.check_seeds(scenario)
 
     def test_upstreams_that_crash_for_other_reasons(self):
-        # Guards against a wanted page that is held back for long, as it runs at each.
+        # Guards against a long hold of a popular request, which runs at each crash.
         async def crash_some(world, seconds):
             end = world.now() + seconds
             while world.now() < end:
@@ -189,7 +189,7 @@
         self.check_longest_hold(crash_some, HOLD_SECONDS[0])
 
     def test_all_upstreams_crash_at_the_same_moment(self):
-        # Guards against all that ran then being held back at once.
+        # Guards against holding back every request that ran at that moment.
         async def crash_all(world, seconds):
             for _ in range(int(seconds / 5)):
                 for node in world.nodes.values():
@@ -198,8 +198,8 @@
 
         self.check_longest_hold(crash_all, 0.0)
 
-    def test_upstreams_that_leave_by_plan_while_calls_run(self):
-        # Guards against requests that are suspected as a drained upstream exits.
+    def test_upstreams_that_drain_while_calls_run(self):
+        # Guards against requests that become suspects because a drained upstream exits.
         async def scenario(world):
             crowd = asyncio.ensure_future(world.vary_requests(6.0, 40.0))
             await asyncio.sleep(1.0)
@@ -215,24 +215,24 @@
         self.check_seeds(scenario)
 
 
-class SafeguardsTests(CrashCase):
-    """Each safeguard, switched off, is missed by some history."""
+class DisabledGuardTests(CrashCase):
+    """With any one guard disabled, some simulation fails."""
 
-    def assert_detected(self, scenario, words):
+    def assert_detected(self, scenario, expected):
         for seed in range(MAX_SEEDS):
             world = play_world(
                 lambda seed=seed: CrashWorld(seed), self, scenario=scenario
             )
-            if any(words in problem for problem in world.problems):
+            if any(expected in problem for problem in world.problems):
                 return
-        self.fail(f"no history in {MAX_SEEDS} shows: {words}")
+        self.fail(f"no run in {MAX_SEEDS} reports: {expected}")
 
     async def repeated(self, world):
         await asyncio.gather(
             world.vary_requests(12.0, 20.0), world.send_crashing(CRASH, 12.0)
         )
 
-    def test_what_one_node_found_out_is_told_to_all(self):
+    def test_crash_reports_reach_all_nodes(self):
         self.patch(CrashNews, "take", lambda self, message, reply: None)
         self.patch(wirecalls, "pack_crash", lambda crash, now: None)
         self.assert_detected(self.repeated, f"{CRASH}: ran")
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of what nodes know of evacuated zones."""
+"""Tests of evacuated zones."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, HeldUpstream
 
 SEEDS = range(16)
-# Evacuations of which nodes heard in another order than they were made.
+# Evacuations that arrive at nodes in different orders.
 AKAKI, BOLE = Evacuation("akaki", 10), Evacuation("bole", 12)
 
 
@@ -38,13 +38,13 @@
     def check(self, *zones):
         self.assertEqual(self.evacuations.zones, frozenset(zones))
 
-    def test_one_begins_and_ends(self):
+    def test_an_evacuation_begins_and_ends(self):
         self.assertTrue(self.evacuations.apply(AKAKI))
         self.check("akaki")
         self.assertTrue(self.evacuations.apply(ended(11)))
         self.check()
 
-    def test_what_is_told_twice_changes_nothing(self):
+    def test_a_repeated_message_changes_nothing(self):
         self.evacuations.apply(AKAKI)
         serial = self.evacuations.serial
         self.assertFalse(self.evacuations.apply(AKAKI))
@@ -52,44 +52,44 @@
         self.evacuations.apply_list([AKAKI], 30)
         self.assertEqual(self.evacuations.serial, serial)
 
-    def test_a_list_that_lags_does_not_end_a_later_evacuation(self):
-        # A node that has not heard of an evacuation tells this one what it knows.
-        # Calls would go on to a zone that the operators work on.
+    def test_an_older_list_does_not_end_a_later_evacuation(self):
+        # A node that has not learned of an evacuation sends its list. Calls would go on
+        # to a zone that the operators work on.
         self.evacuations.apply(BOLE)
         self.evacuations.apply_list([AKAKI], 11)
         self.check("akaki", "bole")
 
-    def test_a_list_that_lags_does_not_bring_back_one_that_has_ended(self):
-        # The zone was taken back, and a node that was cut off tells what it knew. The
-        # zone would stay empty, as its end is not told again.
+    def test_an_older_list_does_not_restore_an_ended_evacuation(self):
+        # An evacuation has ended, and a node that was cut off sends its old list. The
+        # zone would stay evacuated, as the end is not sent again.
         self.evacuations.complete_to = 20
         self.evacuations.apply_list([AKAKI], 15)
         self.assertFalse(self.evacuations.apply(AKAKI))
         self.check()
 
-    def test_one_that_was_over_in_a_moment_is_known_to_have_been(self):
-        # A zone is emptied and taken back within a second, and only the end is read.
-        # Its upstreams are cold after it.
+    def test_the_end_of_an_unseen_evacuation_is_recorded(self):
+        # An evacuation lasts less than a second, and only its end is read. The zone's
+        # upstreams are cold after it.
         self.assertTrue(self.evacuations.apply(ended(11)))
         self.assertEqual(self.evacuations.end_revision("akaki"), 11)
         self.assertFalse(self.evacuations.apply(AKAKI))
         self.check()
 
-    def test_a_list_that_is_newer_ends_what_it_lacks(self):
-        # A node was cut off while a zone was taken back, and learns it from one that
-        # has started since and never heard of the evacuation.
+    def test_a_newer_list_ends_missing_evacuations(self):
+        # A node was cut off while an evacuation ended, and learns of it from a node
+        # that has started since and never knew the evacuation.
         self.evacuations.apply(AKAKI)
         self.evacuations.complete_to = 10
         self.evacuations.apply_list([], 30)
         self.check()
 
-    def test_one_that_was_written_anew_is_kept(self):
+    def test_an_evacuation_that_was_renewed_is_kept(self):
         self.evacuations.apply(AKAKI)
         self.evacuations.apply_list([Evacuation("akaki", 25)], 30)
         self.assertFalse(self.evacuations.apply(ended(20)))
         self.check("akaki")
 
-    def test_zones_without_end_are_not_kept(self):
+    def test_the_number_of_zones_is_limited(self):
         for number in range(MAX_ZONES + 5):
             self.evacuations.apply(Evacuation(f"z{number}", number + 1))
         self.assertEqual(len(self.evacuations.zones), MAX_ZONES)
@@ -108,16 +108,17 @@
         directory.grouping.exclude_zones(frozenset())
         self.assertEqual(len(directory.serving("fleet")), 2)
 
-    def test_an_entry_of_an_evacuated_zone_still_compares_several(self):
-        # With the own zone empty one endpoint alone was drawn. That is a choice by
-        # chance: calls wait at slow upstreams beside others that stand idle.
+    def test_an_entry_in_an_evacuated_zone_still_samples_several(self):
+        # If the own zone is empty, the sample must still have several endpoints. A
+        # single one is a random choice, which makes calls wait at slow upstreams while
+        # others are idle.
         others = [self.endpoint("bole", number) for number in range(20)]
         sample = Sample(random.Random(3))
         self.assertEqual(len(sample.candidates(others, (), lambda _: True)), 3)
 
 
 class StoreTests(TestCase):
-    """What the store says of evacuations, as a node takes it."""
+    """How a node applies the evacuations that it reads from the store."""
 
     def setUp(self):
         super().setUp()
@@ -139,36 +140,37 @@
         kinds = [kind for kind, _ in self.lines if kind.startswith("zone")]
         self.assertEqual(kinds, ["zone-evacuated", "zone-taken-back"])
 
-    def test_one_that_ended_while_the_history_was_dropped(self):
-        # The zone is taken back in a gap of the history. A node that reads all anew
-        # would keep it empty for good if it only followed changes.
+    def test_an_end_in_dropped_history(self):
+        # The evacuation ends in a part of the history that was dropped. A node that
+        # reads the whole store must compare it with its own list: if it only followed
+        # changes, it would keep the zone evacuated forever.
         self.state.take_changes(Changes((self.order,), 5))
         self.state.take_all(Changes((), 9, lists_evacuations=True))
         self.check()
 
-    def test_one_that_ended_and_began_again_between_two_reads(self):
+    def test_an_end_and_a_new_order_between_two_reads(self):
         self.state.take_changes(Changes((self.order,), 5))
         again = StoreItem(self.order.key, b"{}", 8)
         self.state.take_changes(Changes((again,), 9, lists_evacuations=True))
         self.check("akaki")
 
-    def test_an_order_that_was_written_over_stands_as_it_stood(self):
-        # Somebody else writes bytes that cannot be read. Taken for the end of the
-        # evacuation, calls would go to upstreams on which the operators work; taken
-        # for an order, a zone would be empty that nobody emptied.
-        spoilt = StoreItem(self.order.key, b"?", 7)
-        self.state.take_all(Changes((spoilt,), 7, lists_evacuations=True))
+    def test_an_unreadable_order_changes_nothing(self):
+        # Another writer stores data that cannot be parsed. If it counted as the end of
+        # the evacuation, calls would go to upstreams on which the operators work; if it
+        # counted as an order, it would evacuate a zone without reason.
+        corrupt = StoreItem(self.order.key, b"?", 7)
+        self.state.take_all(Changes((corrupt,), 7, lists_evacuations=True))
         self.check()
         self.state.take_changes(Changes((StoreItem(self.order.key, b"{}", 8),), 8))
         self.state.take_changes(Changes((StoreItem(self.order.key, b"?", 9),), 9))
         self.check("akaki")
-        spoilt = StoreItem(self.order.key, b"?", 9)
-        self.state.take_all(Changes((spoilt,), 9, lists_evacuations=True))
+        corrupt = StoreItem(self.order.key, b"?", 9)
+        self.state.take_all(Changes((corrupt,), 9, lists_evacuations=True))
         self.check("akaki")
         refused = [fields for kind, fields in self.lines if kind == "item-refused"]
         self.assertEqual([each["revision"] for each in refused], [7, 9])
 
-    def test_a_zone_that_nobody_knows(self):
+    def test_an_unknown_zone(self):
         unknown = StoreItem(EVACUATION_PREFIX + "nowhere", b"{}", 5)
         endpoint = StoreItem("akaki/akaki-0/1", b"0", 4)
         self.state.take_all(Changes((endpoint, unknown), 5, lists_evacuations=True))
@@ -188,7 +190,7 @@
             directory.put(ENDPOINT, 5, clock.now())
             self.home = Home(self.upstream, directory, log)
             self.home.take_slots(2)
-            self.told = {}
+            self.outcomes = {}
             await scenario()
             self.upstream.gate.set()
 
@@ -198,35 +200,37 @@
         start, now = ENDPOINT.incarnation, clock.now()
         request = Request("GET", name, (), b"")
         call = HomeCall(request, start, "r", 0, True, now + 9, now + 30)
-        self.home.submit(name, call, lambda outcome: self.told.update({name: outcome}))
+        self.home.submit(
+            name, call, lambda outcome: self.outcomes.update({name: outcome})
+        )
 
-    def test_what_waits_is_refused_and_what_runs_is_finished(self):
-        # A zone is evacuated while calls wait for one of its upstreams. Handed over
-        # later they would reach an upstream that the operators work on; refused as not
-        # run at once, they are served in another zone.
+    def test_waiting_calls_are_refused_and_running_ones_finish(self):
+        # A zone is evacuated while calls wait for one of its upstreams. If they were
+        # handed over later, they would reach an upstream that the operators work on;
+        # refused at once as not run, they are served in another zone.
         async def scenario():
             for name in ("a", "b", "c", "d"):
                 self.submit(name)
             await asyncio.sleep(0)
             self.home.evacuate(True, 0)
             refused = {"c": "zone-evacuated", "d": "zone-evacuated"}
-            found = {name: outcome.reason for name, outcome in self.told.items()}
+            found = {name: outcome.reason for name, outcome in self.outcomes.items()}
             self.assertEqual(found, refused)
             self.upstream.gate.set()
-            while len(self.told) < 4:
+            while len(self.outcomes) < 4:
                 await asyncio.sleep(0)
-            self.assertIsInstance(self.told["a"], Answer)
+            self.assertIsInstance(self.outcomes["a"], Answer)
             self.assertEqual(self.upstream.ran, ["a", "b"])
 
         self.play(scenario)
 
-    def test_what_comes_is_refused_whoever_sends_it(self):
-        # An entry that has not heard of the evacuation yet sends a call.
+    def test_new_calls_are_refused_from_any_entry(self):
+        # An entry that has not learned of the evacuation yet sends a call.
         async def scenario():
             self.home.evacuate(True, 0)
             self.submit("a")
             await asyncio.sleep(0)
-            self.assertIsInstance(self.told["a"], NotRun)
+            self.assertIsInstance(self.outcomes["a"], NotRun)
             self.assertEqual(self.upstream.ran, [])
             self.home.evacuate(False, 9)
             self.submit("b")
@@ -237,25 +241,25 @@
 
 
 class SpreadTests(TestCase):
-    """Zones are evacuated and taken back while nodes, links and the store fail."""
+    """Evacuations begin and end while nodes, links and the store fail."""
 
     def test_random_histories(self):
-        # Nodes are killed and cut off, the store drops its history, is silent or
-        # fails, and versions come in a storm. Each calm node acts on each evacuation
-        # and on its end in two seconds, and in the end all know the same.
+        # Nodes are killed and cut off, the store drops its history, hangs or fails, and
+        # versions follow each other quickly. Each node without faults acts on the start
+        # and end of each evacuation within two seconds, and finally all nodes agree.
         for seed in SEEDS:
             world = play(seed, self, EvacuationWorld)
             self.assertEqual((seed, world.problems), (seed, []))
 
-    def assert_detected(self, words):
+    def assert_detected(self, expected):
         for seed in SEEDS:
             problems = play(seed, self, EvacuationWorld).problems
-            if any(words in problem for problem in problems):
+            if any(expected in problem for problem in problems):
                 return
-        self.fail(f"no history shows: {words}")
+        self.fail(f"no run reports: {expected}")
 
-    def test_a_late_word_without_the_guard_keeps_a_zone_empty(self):
-        # The safeguard against old news, switched off, is missed by some history.
+    def test_without_the_guard_an_old_message_keeps_a_zone_evacuated(self):
+        # Without the guard against outdated messages some simulation fails.
         apply = Evacuations.apply
 
         def unguarded(self, evacuation):
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that start again under the name that they had."""
+"""Tests of upstreams that restart under the same instance name."""
 
 import asyncio
 from dataclasses import replace
@@ -23,14 +23,14 @@
 from sequoiaspoke.sidecar.logs import EventLog
 from sequoiaspoke.sidecar.wireknowledge import pack, unpack
 
-# Starts of one upstream, in Unix milliseconds.
+# Start times of two incarnations of one upstream, in Unix milliseconds.
 FIRST, LATER = 1_790_000_000_000, 1_790_000_007_500
 OLD = Endpoint("i-1", "fleet", "10.0.0.1", 80, "akaki", 4, born=FIRST)
 NEW = replace(OLD, born=LATER)
 OTHER = Endpoint("i-2", "fleet", "10.0.0.2", 80, "bole", 4, born=FIRST)
 
 
-class DirectoryOfStartsTests(TestCase):
+class DirectoryTests(TestCase):
     def setUp(self):
         super().setUp()
         self.directory = Directory()
@@ -39,24 +39,25 @@
     def serving(self):
         return [each.incarnation for each in self.directory.serving("fleet")]
 
-    def test_an_upstream_that_drained_and_went_serves_again(self):
-        # An upstream reports that it leaves, goes, and starts again under its name.
-        # With its leave held against the name, it would get no call any more.
+    def test_an_upstream_that_drained_serves_after_a_restart(self):
+        # An upstream drains, departs and starts again under its name. If the drain
+        # applied to the name, it would never get a call again.
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
         self.directory.remove("i-1", 7, 1.0)
         self.assertTrue(self.directory.put(NEW, 8, 2.0))
         self.assertEqual(self.serving(), [NEW.incarnation])
         self.assertFalse(self.directory.is_leaving(NEW.incarnation))
 
-    def test_a_start_that_follows_at_once_replaces_one_that_drains(self):
+    def test_a_later_incarnation_replaces_one_that_drains(self):
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
         self.assertTrue(self.directory.put(NEW, 7, 0.0))
         self.assertEqual(self.serving(), [NEW.incarnation])
 
-    def test_a_late_report_of_the_start_before_takes_nothing_back(self):
-        # A report of the earlier start lay in a queue and is written after the later
-        # one has registered, with a higher revision. Taken, calls would be kept from an
-        # upstream that serves, as the earlier start had said that it leaves.
+    def test_a_late_report_of_an_earlier_incarnation_is_ignored(self):
+        # A report of the earlier incarnation was delayed in a queue and is written
+        # after the later one has registered, with a higher revision. If it were
+        # applied, an upstream that serves would get no calls, as the earlier
+        # incarnation drained.
         self.directory.put(NEW, 8, 0.0)
         for stale in (OLD, replace(OLD, draining=True)):
             self.assertFalse(self.directory.put(stale, 20, 1.0))
@@ -64,64 +65,67 @@
         self.directory.reconcile([Published(OLD, 22)], 30, 1.0, trusted=True)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
-    def test_a_node_that_lags_or_wakes_late_takes_nothing_back(self):
-        # A node that was suspended tells what it knew: the earlier start, and its end.
+    def test_a_lagging_node_does_not_restore_an_earlier_incarnation(self):
+        # A node that was suspended sends its old state: the earlier incarnation and its
+        # departure.
         self.directory.remove("i-1", 7, 0.0)
         self.directory.put(NEW, 8, 0.0)
         self.assertFalse(self.directory.put(OLD, 5, 9.0, from_peer=True))
         self.directory.apply_departure(Departure("i-1", FIRST, 7, True), 9.0)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
-    def test_the_later_start_is_taken_also_with_a_lower_revision(self):
-        # This node read the store while a late report of the earlier start stood there.
-        # Another has seen the later start before and tells it.
+    def test_a_later_incarnation_wins_with_a_lower_revision(self):
+        # This node read the store while a late report of the earlier incarnation had
+        # overwritten the entry. A peer has seen the later one before and sends it.
         self.directory.put(OLD, 20, 0.0)
         self.assertTrue(self.directory.put(NEW, 18, 1.0, from_peer=True))
         self.assertEqual(self.serving(), [NEW.incarnation])
 
-    def test_a_later_start_whose_end_was_seen_is_not_brought_back(self):
-        # The end of an entry names no start: it ends all that was written before it.
+    def test_a_removed_later_incarnation_is_not_restored(self):
+        # A removal names no incarnation: it ends whatever was written before it.
         self.directory.remove("i-1", 12, 0.0)
         self.assertFalse(self.directory.put(NEW, 9, 1.0, from_peer=True))
         self.assertEqual(self.serving(), [])
 
-    def test_a_start_that_drained_is_not_brought_back_by_its_last_report(self):
-        # An upstream has left. A report that it sent while it served is written only
-        # now. Calls would go to an address at which nobody, or another, listens.
+    def test_a_drained_incarnation_is_not_restored_by_a_late_report(self):
+        # An upstream has left, and a report from before its drain is written only now.
+        # Calls would go to an address at which nothing, or another upstream, listens.
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
         self.directory.remove("i-1", 7, 1.0)
         self.assertFalse(self.directory.put(OLD, 9, 2.0))
         self.assertEqual(self.serving(), [])
 
-    def test_an_entry_that_lapsed_may_be_written_again_by_the_same_start(self):
+    def test_a_lapsed_entry_may_be_written_again_by_its_incarnation(self):
         self.directory.remove("i-1", 7, 1.0)
         self.assertTrue(self.directory.put(OLD, 9, 2.0))
 
-    def test_what_another_node_knew_of_the_end_counts_here_too(self):
-        # This node never heard that the start drains; another did and tells the end.
+    def test_a_drain_that_a_peer_saw_counts(self):
+        # This node missed the drain; a peer saw it and sends the departure.
         self.directory.apply_departure(Departure("i-1", FIRST, 7, True), 1.0)
         self.assertFalse(self.directory.put(OLD, 9, 2.0))
         self.assertTrue(self.directory.put(NEW, 10, 2.0))
 
-    def test_calls_to_the_start_before_may_run_at_the_later_one(self):
-        # A call that was sent to the earlier start and has not run need not go back.
+    def test_calls_to_an_earlier_incarnation_may_run_at_the_later_one(self):
+        # A call that was sent to the earlier incarnation and has not run need not be
+        # refused.
         self.directory.put(NEW, 8, 0.0)
         self.assertFalse(self.directory.is_leaving(OLD.incarnation))
         self.directory.put(replace(NEW, draining=True), 9, 0.0)
         self.assertTrue(self.directory.is_leaving(OLD.incarnation))
         self.assertTrue(self.directory.is_leaving(NEW.incarnation))
 
-    def test_a_home_that_lags_does_not_turn_the_later_start_away(self):
-        # The entry knows of the later start, its home only that the earlier one drains.
+    def test_a_lagging_home_does_not_refuse_the_later_incarnation(self):
+        # The entry node knows the later incarnation, the home only that the earlier one
+        # drains.
         self.directory.put(replace(OLD, draining=True), 6, 0.0)
         self.assertTrue(self.directory.is_leaving(OLD.incarnation))
         self.assertFalse(self.directory.is_leaving(NEW.incarnation))
         self.directory.remove("i-1", 7, 0.0)
         self.assertFalse(self.directory.is_leaving(NEW.incarnation))
 
-    def test_the_latest_start_at_an_address_is_the_one_beside_a_node(self):
-        # The address of an upstream that is gone was given to another; both entries
-        # stand for a while. Its home would take the slots of either in turn.
+    def test_the_latest_incarnation_at_an_address_is_found(self):
+        # The address of a departed upstream was reused, and both entries exist for a
+        # while. The home would alternate between the slots of the two.
         joined = replace(NEW, instance="i-9", slots=9)
         self.directory.put(joined, 9, 0.0)
         self.directory.put(replace(OLD, slots=3), 10, 0.0)
@@ -139,51 +143,51 @@
     def serving(self):
         return {each.instance for each in self.directory.serving("fleet")}
 
-    def test_it_names_no_upstream_and_the_others_hold(self):
-        # Somebody writes over the entry of an upstream. Nobody knows whether it may
-        # still be used, so it gets no new calls; the calls that it runs go on.
+    def test_it_gets_no_calls_and_the_others_do(self):
+        # Another writer overwrites the entry of an upstream. Whether it may still be
+        # used is unknown, so it gets no new calls; the calls that it runs go on.
         self.assertTrue(self.directory.mark_unreadable("i-1", 7))
         self.assertEqual(self.serving(), {"i-2"})
         self.assertFalse(self.directory.is_leaving(OLD.incarnation))
         self.assertEqual(self.directory.at_address("10.0.0.1", 80), OLD)
 
-    def test_its_next_report_brings_it_back(self):
+    def test_its_next_report_restores_it(self):
         self.directory.mark_unreadable("i-1", 7)
         self.assertFalse(self.directory.put(OLD, 5, 1.0, from_peer=True))
         self.assertTrue(self.directory.put(OLD, 8, 1.0))
         self.assertEqual(self.serving(), {"i-1", "i-2"})
 
-    def test_an_entry_that_never_could_be_read_names_nobody(self):
+    def test_an_entry_that_was_never_readable_is_ignored(self):
         self.assertFalse(self.directory.mark_unreadable("i-7", 8))
         self.assertEqual(set(self.directory.records), {"i-1", "i-2"})
 
-    def test_in_a_whole_list_it_has_not_left(self):
-        # The store is read anew. Taken for gone, the upstream's home would refuse the
-        # calls that are under way to it.
+    def test_it_does_not_depart_by_a_complete_list(self):
+        # The store is read completely. If the endpoint counted as departed, its home
+        # would refuse the calls already sent to it.
         listed = [Published(OTHER, 6)]
         self.directory.reconcile(listed, 9, 1.0, unreadable=[("i-1", 7)])
         self.assertEqual(self.serving(), {"i-2"})
         self.assertFalse(self.directory.is_leaving(OLD.incarnation))
 
-    def test_its_end_is_an_end(self):
+    def test_its_removal_is_a_departure(self):
         self.directory.mark_unreadable("i-1", 7)
         self.directory.remove("i-1", 8, 1.0)
         self.assertTrue(self.directory.is_leaving(OLD.incarnation))
 
-    def test_subscribers_are_told(self):
+    def test_subscribers_learn_of_it(self):
         count = self.directory.serial
         self.directory.mark_unreadable("i-1", 7)
         held, _ = self.directory.changed_since(count)
-        told = Directory()
+        subscriber = Directory()
         for each in held:
-            told.put(each.endpoint, each.revision, 1.0, True, each.readable)
-        self.assertEqual(told.serving("fleet"), ())
-        self.assertTrue(told.put(OLD, 8, 1.0))
-        self.assertEqual(len(told.serving("fleet")), 1)
+            subscriber.put(each.endpoint, each.revision, 1.0, True, each.readable)
+        self.assertEqual(subscriber.serving("fleet"), ())
+        self.assertTrue(subscriber.put(OLD, 8, 1.0))
+        self.assertEqual(len(subscriber.serving("fleet")), 1)
 
 
-class ToldStartsTests(TestCase):
-    def test_starts_and_ends_reach_the_other_node_whole(self):
+class PackedIncarnationTests(TestCase):
+    def test_incarnations_and_departures_survive_packing(self):
         knowledge = Knowledge(
             revision=9,
             as_of=40.0,
@@ -196,10 +200,10 @@
         self.assertEqual(unpack(pack(knowledge), 0.0), knowledge)
 
 
-class PlacingOfStartsTests(TestCase):
-    def test_what_was_learnt_of_the_start_before_is_not_held_against_it(self):
-        # An upstream failed every call and was started again. Avoided for what the
-        # start before did, it would stay idle while others are late.
+class PlacingTests(TestCase):
+    def test_failures_of_an_earlier_incarnation_do_not_count(self):
+        # An upstream failed every call and was restarted. If the failures still counted
+        # against it, it would stay idle while others are overloaded.
         placing = Placing("akaki")
         split = (WeightedService("fleet"),)
         route = Route("a", "x", "/a/", True, 2.0, 0.6, 1, 2, split)
@@ -219,7 +223,7 @@
 
 
 class RestartingUpstream:
-    """Runs calls until it is started again, which breaks them off."""
+    """Runs calls until it is restarted, which aborts them."""
 
     told_load = None
 
@@ -242,7 +246,7 @@
         pass
 
 
-class HomeOfStartsTests(TestCase):
+class HomeTests(TestCase):
     def play(self, scenario):
         async def run():
             log = EventLog("x-request-id")
@@ -251,7 +255,7 @@
             self.directory.put(OLD, 5, clock.now())
             self.home = Home(self.upstream, self.directory, log)
             self.home.take_endpoint(OLD)
-            self.told = []
+            self.outcomes = []
             await scenario()
 
         asyncio.run(run())
@@ -262,7 +266,7 @@
             Request("POST", key, (), b""),
             OLD.incarnation, "r", 0, idempotent, now + 5, now + 30,
         )  # fmt: skip
-        self.home.submit(key, call, self.told.append)
+        self.home.submit(key, call, self.outcomes.append)
 
     def restart(self):
         self.upstream.breaking = True
@@ -270,37 +274,38 @@
         self.directory.put(NEW, 8, clock.now())
         self.home.take_endpoint(NEW)
 
-    def test_an_order_that_ran_at_the_start_before_is_not_run_again(self):
-        # An order runs as its upstream crashes and starts again under its name. Told as
-        # not run, its caller sends it once more, and the resin is ordered twice.
+    def test_a_call_that_ran_at_an_earlier_incarnation_is_not_rerun(self):
+        # A call that is not idempotent runs as its upstream crashes and restarts under
+        # its name. If it were reported as not run, its caller would send it again, and
+        # it would run twice.
         async def scenario():
             self.submit("/order")
             await asyncio.sleep(0)
             self.restart()
             await asyncio.sleep(0.01)
-            self.assertEqual(self.told, [Unknown("connection-lost")])
+            self.assertEqual(self.outcomes, [Unknown("connection-lost")])
             self.submit("/order")
             await asyncio.sleep(0.01)
-            self.assertEqual(self.told, [Unknown("connection-lost")] * 2)
+            self.assertEqual(self.outcomes, [Unknown("connection-lost")] * 2)
             self.assertEqual(self.upstream.ran, ["/order"])
 
         self.play(scenario)
 
-    def test_an_answer_of_the_start_before_is_still_given(self):
-        # The link broke while the answer was on its way; the entry asks again after the
-        # upstream was started anew. The call ran once and its answer is known.
+    def test_an_answer_of_an_earlier_incarnation_is_returned(self):
+        # The link broke before the answer arrived, and the entry sends the call again
+        # after the upstream restarted. The call ran once and its answer is still known.
         async def scenario():
             self.upstream.gate.set()
             self.submit("/order")
             await asyncio.sleep(0.01)
             self.restart()
             self.submit("/order")
-            self.assertEqual([type(each) for each in self.told], [Answer, Answer])
+            self.assertEqual([type(each) for each in self.outcomes], [Answer, Answer])
             self.assertEqual(self.upstream.ran, ["/order"])
 
         self.play(scenario)
 
-    def test_connections_speeds_and_load_of_the_start_before_are_forgotten(self):
+    def test_connections_and_durations_are_reset_on_restart(self):
         async def scenario():
             admission = self.home.admission
             admission.durations.begin("x", "r", 0.0)
@@ -314,7 +319,7 @@
 
         self.play(scenario)
 
-    def test_a_call_that_waited_runs_at_the_later_start(self):
+    def test_a_waiting_call_runs_at_the_later_incarnation(self):
         async def scenario():
             self.home.take_slots(1)
             for key in ("/1", "/2"):
--- a/sequoiaspoke/tests/test_mesh_quarantine.py
+++ b/sequoiaspoke/tests/test_mesh_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of what is remembered of crashes and what follows for requests."""
+"""Tests of crash reports and of the quarantine of requests."""
 
 import itertools
 import random
@@ -34,8 +34,8 @@
 
 
 class CrashesTests(TestCase):
-    def test_reports_add_up_to_the_same_in_any_order_and_told_twice(self):
-        # Guards against nodes that know different things after a cut.
+    def test_merging_reports_is_commutative_and_idempotent(self):
+        # Guards against nodes that disagree after a network partition.
         rng = random.Random(5)
         reports = [
             crash(number, *(rng.sample("abcd", rng.randrange(5)) for _ in range(3)))
@@ -50,15 +50,15 @@
             sums.add(known.checksum)
         self.assertEqual(len(sums), 1)
 
-    def test_what_is_told_again_is_no_news(self):
-        # Guards against two nodes that tell each other the same for ever.
+    def test_a_repeated_report_changes_nothing(self):
+        # Guards against two nodes that send each other the same report forever.
         known = Crashes()
         self.assertIsNotNone(known.add(crash(1), NOW))
         self.assertIsNone(known.add(crash(1, at=NOW + 1), NOW))
         self.assertIsNone(known.add(crash(1, suspects="a"), NOW))
 
-    def test_a_request_that_was_cleared_is_not_suspected_by_an_old_report(self):
-        # Guards against a report that was long on its way.
+    def test_an_old_report_does_not_revert_a_clearance(self):
+        # Guards against a report that arrives late.
         known = Crashes()
         known.add(crash(1), NOW)
         known.clear(SERVICE, "a")
@@ -66,8 +66,8 @@
         self.assertEqual(known.for_request(SERVICE, "a"), [])
         self.assertEqual(len(known.for_request(SERVICE, "b")), 1)
 
-    def test_an_answer_clears_only_of_crashes_that_were_known(self):
-        # Guards against one answer that makes up for all crashes that follow.
+    def test_an_answer_clears_only_earlier_crashes(self):
+        # Guards against one answer that also clears later crashes.
         known = Crashes()
         known.add(crash(1), NOW)
         known.clear(SERVICE, "a")
@@ -84,8 +84,8 @@
         self.assertEqual((known.known, known.by_request), ({}, {}))
         self.assertIsNone(known.add(crash(1), NOW + KEEP_SECONDS + 1))
 
-    def test_thousands_of_crashes_leave_the_memory_bounded(self):
-        # Guards against a caller that makes up new requests without end.
+    def test_the_number_of_crashes_is_limited(self):
+        # Guards against a caller that sends any number of different requests.
         self.patch(crashes, "MAX_CRASHES", 50)
         known = Crashes()
         known.add(crash("proven", proven="a", at=NOW - 1), NOW)
@@ -95,50 +95,51 @@
         self.assertEqual(len(known.by_request), 51)
         self.assertIn("i-proven@1", known.known)
 
-    def test_a_report_keeps_its_age_on_its_way(self):
-        told = pack_crash(crash(1, proven="a", cleared="b"), NOW + 4)
+    def test_a_report_keeps_its_age_when_packed(self):
+        packed = pack_crash(crash(1, proven="a", cleared="b"), NOW + 4)
         self.assertEqual(
-            unpack_crash(told, 70.0), crash(1, proven="a", cleared="b", at=66.0)
+            unpack_crash(packed, 70.0), crash(1, proven="a", cleared="b", at=66.0)
         )
 
-    def test_a_report_without_a_part_is_a_broken_message(self):
+    def test_a_report_with_a_missing_field_is_an_error(self):
         for part in ("name", "instance", "service_name", "age", "suspects", "cleared"):
-            told = pack_crash(crash(1), NOW)
-            setattr(told, part, None)
+            packed = pack_crash(crash(1), NOW)
+            setattr(packed, part, None)
             with self.assertRaises(MessageError):
-                unpack_crash(told, NOW)
+                unpack_crash(packed, NOW)
 
 
 class QuarantineTests(TestCase):
-    def test_a_suspect_is_not_held_back_however_often_it_was_one_of_many(self):
-        # Guards against a wanted page that runs at every crash and is blamed.
+    def test_one_of_several_suspects_is_never_held_back(self):
+        # Guards against a popular request that happens to run at every crash and is
+        # held back for that.
         quarantine = Quarantine()
         for number in range(20):
             quarantine.add(crash(number), NOW)
         self.assertTrue(quarantine.is_suspect(SERVICE, "a"))
         self.assertEqual(quarantine.held_requests(NOW), {})
 
-    def test_each_proof_holds_a_request_back_for_longer(self):
+    def test_each_proven_crash_extends_the_hold(self):
         quarantine = Quarantine()
         for number, seconds in enumerate((*HOLD_SECONDS, HOLD_SECONDS[-1])):
             quarantine.add(crash(number, proven="a"), NOW)
             self.assertEqual(quarantine.held_requests(NOW), {(SERVICE, "a"): seconds})
             self.assertEqual(quarantine.held_requests(NOW + seconds), {})
 
-    def test_an_answer_ends_it(self):
+    def test_an_answer_ends_a_hold(self):
         quarantine = Quarantine()
         quarantine.add(crash(1, proven="a"), NOW)
         quarantine.clear(SERVICE, "a")
         self.assertEqual(quarantine.held_requests(NOW), {})
         self.assertFalse(quarantine.is_suspect(SERVICE, "a"))
 
-    def test_it_holds_for_the_service_whose_upstreams_crashed(self):
-        # Guards against a route that is moved away and refused all the same.
+    def test_a_hold_applies_to_one_service(self):
+        # Guards against a route that is moved to another service and refused there.
         quarantine = Quarantine()
         quarantine.add(crash(1, proven="a"), NOW)
         self.assertEqual(quarantine.held_seconds("other", "a", NOW), 0.0)
 
-    def test_an_operator_can_let_go_of_it(self):
+    def test_an_operator_can_release_a_request(self):
         quarantine = Quarantine()
         quarantine.add(crash(1, proven="a"), NOW)
         quarantine.add(replace(crash(2, proven="a"), service="other"), NOW)
@@ -146,26 +147,27 @@
         self.assertEqual(quarantine.held_requests(NOW), {})
         self.assertEqual(quarantine.release("a"), [])
 
-    def test_a_crash_proves_the_only_one_that_was_suspected_before(self):
+    def test_a_crash_proves_the_only_earlier_suspect(self):
         self.assertEqual(find_proven({"a": True, "b": False}), frozenset("a"))
         self.assertEqual(find_proven({"a": True, "b": True}), frozenset())
         self.assertEqual(find_proven({"a": False}), frozenset())
 
 
-class SuspectsInTheQueueTests(TestCase):
+class QueuedSuspectsTests(TestCase):
     def arrive(self, admission, ticket, deadline=NOW + 9):
         arrival = Arrival(ticket, "r", 1, NOW + 5, deadline)
         return admission.arrive(arrival, NOW)
 
     def started(self, admission):
-        """Return what is handed over now."""
+        """Return the tickets that are handed over now."""
         tickets = []
         while (arrival := admission.next(NOW)[0]) is not None:
             tickets.append(arrival.ticket)
         return tickets
 
-    def test_one_suspect_runs_at_a_time_and_holds_up_nobody_else(self):
-        # Guards against two suspects of which nobody can tell which one crashes.
+    def test_one_suspect_runs_at_a_time_and_delays_no_other_call(self):
+        # Guards against two suspects at one upstream: after a crash it would be unknown
+        # which of them caused it.
         admission = Admission(4)
         admission.suspects = {"s1", "s2"}
         for ticket in ("s1", "s2", "x", "y"):
@@ -176,8 +178,8 @@
         admission.finish("s1", True, NOW)
         self.assertEqual(self.started(admission), ["s2"])
 
-    def test_a_suspect_that_cannot_have_its_turn_in_time_is_refused_at_once(self):
-        # Guards against callers who wait for a turn that comes too late.
+    def test_a_suspect_that_cannot_run_in_time_is_refused_at_once(self):
+        # Guards against callers that wait although their call cannot run in time.
         admission = Admission(4)
         admission.suspects = {str(number) for number in range(50)}
         refused = [
--- a/sequoiaspoke/tests/test_spread_sim.py
+++ b/sequoiaspoke/tests/test_spread_sim.py
@@ -1,7 +1,7 @@
-"""Random histories of nodes that follow the store through two readers a zone.
+"""Random simulations of nodes that follow the store through two readers per zone.
 
-Whatever befalls nodes, links and the store: no node goes back to an older version, each
-that is calm acts on a change within two seconds, and in the end all know the same.
+Whatever faults nodes, links and the store have: no node returns to an older version,
+each node without faults acts on a change within two seconds, and finally all agree.
 """
 
 import os
@@ -14,17 +14,16 @@
 from sequoiaspoke.tests.spreadsim import NodeStore, play
 
 SEEDS = int(os.environ.get("MESH_SEEDS", "48"))
-PARTS = 4  # tests among which the seeds are dealt, to run side by side
-# Seeds that have shown a fault.
+PARTS = 4  # tests among which the seeds are divided, to run in parallel
+# Seeds that failed before a fault was fixed.
 REGRESSION_SEEDS = (7, 14, 18, 40, 43, 52, 72, 78, 95, 97, 104, 116, 180)
-# Both readers of a zone are killed before they noticed that their wait had missed a
-# change.
+# Both readers of a zone are killed before they notice that their wait missed a change.
 KILLED_READERS = (2, 175, 178)
-# A reader that had said that it reads a change is killed before it has.
+# A reader is killed after it announced a change and before it has read it.
 KILLED_WHILE_READING = (2117,)
-# What was told was long on its way, through a cut that has ended.
+# Messages are delayed by a partition and arrive when it ends.
 DELAYED_MESSAGES = (28, 1015, 1029, 1057)
-MAX_SEEDS = 12  # seeds of which one at least catches a safeguard that is switched off
+MAX_SEEDS = 12  # seeds of which at least one must show that a guard is disabled
 
 
 class FollowingTests(TestCase):
@@ -34,23 +33,23 @@
             self.assertEqual((seed, world.problems), (seed, []))
             self.assertTrue(world.checked > 10, world.checked)
 
-    def test_seeds_that_once_failed(self):
+    def test_seeds_that_failed_before(self):
         self.check_seeds(REGRESSION_SEEDS)
 
-    def test_readers_that_die_before_they_told_of_a_change(self):
-        # Two readers have missed a change and are both killed within the second. The
-        # other nodes hear nothing for 1.4 s and then read for themselves: for that long
-        # calls go by the version before.
+    def test_readers_that_are_killed_before_they_forward_a_change(self):
+        # Two readers missed a change and are both killed within a second. The other
+        # nodes use the previous version until the last confirmation has expired, 1.4 s
+        # later, and then read for themselves.
         self.check_seeds(KILLED_READERS)
 
-    def test_a_reader_that_dies_while_it_reads_a_change(self):
-        # It had told its zone that it reads; the others waited for it, and calls went
-        # by the version before for 2.09 s.
+    def test_a_reader_that_is_killed_while_it_reads_a_change(self):
+        # It had announced the change; the others waited for it and used the previous
+        # version for longer than 2 s.
         self.check_seeds(KILLED_WHILE_READING)
 
-    def test_what_was_held_up_by_a_cut_is_not_taken_for_fresh(self):
-        # A node is cut off from its readers and what they said comes as the cut ends.
-        # Taken for fresh it kept the node from reading for itself.
+    def test_messages_delayed_by_a_partition_do_not_count_as_fresh(self):
+        # A node is cut off from its readers, and their messages arrive when the
+        # partition ends. If they counted as fresh, the node would not read for itself.
         self.check_seeds(DELAYED_MESSAGES)
 
 
@@ -65,28 +64,28 @@
     setattr(FollowingTests, f"test_random_histories_{each}", part(each))
 
 
-class FollowingSafeguardsTests(TestCase):
-    """Each safeguard, switched off, is missed by some history."""
+class DisabledFollowerGuardTests(TestCase):
+    """With any one guard disabled, some simulation fails."""
 
-    def assert_detected(self, words, seeds=range(MAX_SEEDS)):
+    def assert_detected(self, expected, seeds=range(MAX_SEEDS)):
         for seed in seeds:
             problems = play(seed, self).problems
-            if any(words in problem for problem in problems):
+            if any(expected in problem for problem in problems):
                 return
-        self.fail(f"no history shows: {words}")
+        self.fail(f"no run reports: {expected}")
 
     def test_a_node_whose_readers_are_silent_reads_for_itself(self):
         self.patch(ReadingDuty, "must_read", lambda self, now: self.on_duty)
         self.assert_detected("not acted on")
 
-    def test_a_reader_vouches_only_for_what_the_store_has_confirmed(self):
+    def test_a_reader_confirms_only_what_the_store_has_confirmed(self):
         def unguarded(self, now):
             return self.on_duty or now - self.confirmed_at > 6.0
 
         self.patch(ReadingDuty, "must_read", unguarded)
         self.assert_detected("not acted on")
 
-    def test_a_history_that_was_lost_is_read_anew(self):
+    def test_a_lost_history_is_read_again(self):
         step = Follower.step
 
         async def without_listing(self):
@@ -96,7 +95,7 @@
         self.patch(Follower, "step", without_listing)
         self.assert_detected("ended with")
 
-    def test_a_revision_that_was_not_told_is_read_anew(self):
+    def test_a_missed_revision_is_read_again(self):
         async def unguarded(self):
             await self.reach(1.0)
             return 0
@@ -104,7 +103,7 @@
         self.patch(NodeStore, "confirm", unguarded)
         self.assert_detected("not acted on")
 
-    def test_what_was_removed_is_not_taken_from_a_node_that_lags(self):
+    def test_a_removed_entry_is_not_taken_from_a_lagging_node(self):
         put = Directory.put
 
         def unguarded(self, endpoint, revision, now, from_peer=False):
