--- a/sequoiaspoke/core/mesh/crashes.py
+++ b/sequoiaspoke/core/mesh/crashes.py
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    known : dict of str to Crash
+    by_name : dict of str to Crash
         By name.
     by_request : dict of (str, str) to set of str
         Names of the crashes in which a request is an uncleared suspect, by service
@@ -89,28 +89,28 @@
     """
 
     def __init__(self) -> None:
-        self.known: dict[str, Crash] = {}
+        self.by_name: dict[str, Crash] = {}
         self.by_request: dict[tuple[str, str], set[str]] = {}
         self.cached_checksum: int | None = 0
 
     def for_request(self, service: str, fingerprint: str) -> list[Crash]:
         """Return the crashes in which a request is an uncleared suspect."""
         names = self.by_request.get((service, fingerprint), ())
-        return [self.known[name] for name in names]
+        return [self.by_name[name] for name in names]
 
     def add(self, crash: Crash, now: float) -> Crash | None:
         """Merge a report; return the merged crash if it changed, else None."""
-        known = self.known.get(crash.name)
+        known = self.by_name.get(crash.name)
         merged = crash if known is None else known.merged(crash)
         if merged == known or merged.is_expired(now):
             return None
         self.store(merged)
-        if len(self.known) > MAX_CRASHES:
+        if len(self.by_name) > MAX_CRASHES:
             dropped = min(
-                self.known.values(), key=lambda x: (bool(x.uncleared_proven), x.at)
+                self.by_name.values(), key=lambda x: (bool(x.uncleared_proven), x.at)
             )
             self.drop(dropped.name)
-        return self.known.get(crash.name)
+        return self.by_name.get(crash.name)
 
     def clear(self, service: str, fingerprint: str) -> list[Crash]:
         """Clear a request that was answered; return the crashes that changed."""
@@ -124,13 +124,13 @@
 
     def expire(self, now: float) -> None:
         """Forget the crashes that are too old."""
-        for crash in [each for each in self.known.values() if each.is_expired(now)]:
+        for crash in [each for each in self.by_name.values() if each.is_expired(now)]:
             self.drop(crash.name)
 
     def store(self, crash: Crash) -> None:
         """Store a crash, replacing an earlier record of it."""
         self.drop(crash.name)
-        self.known[crash.name] = crash
+        self.by_name[crash.name] = crash
         for fingerprint in crash.uncleared:
             request = (crash.service, fingerprint)
             self.by_request.setdefault(request, set()).add(crash.name)
@@ -138,7 +138,7 @@
 
     def drop(self, name: str) -> None:
         """Forget a crash."""
-        crash = self.known.pop(name, None)
+        crash = self.by_name.pop(name, None)
         if crash is None:
             return
         for fingerprint in crash.uncleared:
@@ -153,7 +153,7 @@
     def checksum(self) -> int:
         """Return a checksum of the remembered crashes, to compare nodes by."""
         if self.cached_checksum is None:
-            lines = sorted(map(canonical_text, self.known.values()))
+            lines = sorted(map(canonical_text, self.by_name.values()))
             self.cached_checksum = zlib.crc32("\n".join(lines).encode())
         return self.cached_checksum
 
--- a/sequoiaspoke/core/mesh/reading.py
+++ b/sequoiaspoke/core/mesh/reading.py
@@ -130,12 +130,12 @@
         version takes a reader 1.4 s on a link of 2.5 Mbit/s and 0.07 s on one of 50
         Mbit/s, and it has to be in force at all nodes within 2.5 s.
         """
-        order = self.widest_first(self.hosts) + self.widest_first(self.leaving)
+        order = self.fastest_first(self.hosts) + self.fastest_first(self.leaving)
         self.readers = tuple(order[:READERS_PER_ZONE])
         self.unreachable.intersection_update(self.readers)
         self.on_change()
 
-    def widest_first(self, hosts: Iterable[str]) -> list[str]:
+    def fastest_first(self, hosts: Iterable[str]) -> list[str]:
         """Return nodes sorted by link rate, fastest first.
 
         An unknown rate counts as the slowest known one. If it counted as less, each
@@ -143,8 +143,8 @@
         equal links every node would read at the start.
         """
         order = rank(self.zone, sorted(hosts))
-        narrowest = min(self.link_rates.values())
-        return sorted(order, key=lambda host: -self.link_rates.get(host, narrowest))
+        slowest = min(self.link_rates.values())
+        return sorted(order, key=lambda host: -self.link_rates.get(host, slowest))
 
     def confirm(self, as_of: float, answered_at: float | None = None) -> None:
         """Record that this node's state was complete at some time.
--- a/sequoiaspoke/core/mesh/knowledge.py
+++ b/sequoiaspoke/core/mesh/stateupdate.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Knowledge:
+class StateUpdate:
     """A snapshot of a node's state, or the changes since an earlier one.
 
     Attributes
@@ -21,9 +21,9 @@
         Revision of the store that this reflects.
     as_of : float
         When that was current, by the local node's clock.
-    whole : bool
+    is_snapshot : bool
         Whether the endpoints are a complete list; a missing one has departed.
-    gone : tuple of Departure
+    departures : tuple of Departure
         Instances that departed.
     lapsing : tuple of Departure
         Instances whose entries vanished around an outage of the store as the sender saw
@@ -36,9 +36,9 @@
 
     revision: int
     as_of: float
-    whole: bool = False
+    is_snapshot: bool = False
     endpoints: tuple[Published, ...] = ()
-    gone: tuple[Departure, ...] = ()
+    departures: tuple[Departure, ...] = ()
     lapsing: tuple[Departure, ...] = ()
     config: ConfigDelta | None = None
     config_revision: int = 0
--- a/sequoiaspoke/sidecar/crashnews.py
+++ b/sequoiaspoke/sidecar/crashnews.py
@@ -82,14 +82,14 @@
 
     def tell_all(self, reply: Callable[[wire.Frame], None]) -> None:
         """Tell one node all that is known here, if there is anything."""
-        crashes = list(self.quarantine.crashes.known.values())
+        crashes = list(self.quarantine.crashes.by_name.values())
         if crashes:
             reply(self.frame(crashes))
 
     def tick(self, now: float) -> None:
         """Forget what is too long ago, and compare with other zones."""
         self.quarantine.crashes.expire(now)
-        idle = not self.quarantine.crashes.known or not self.duty.on_duty
+        idle = not self.quarantine.crashes.by_name or not self.duty.on_duty
         if idle or now - self.compared < COMPARE_SECONDS:
             return
         self.compared = now
@@ -133,5 +133,5 @@
         self.tell(self.learn(told), heard=True)
         if message.compare and message.checksum != self.checksum:
             # What came whole was an answer; the next word is the last.
-            known = self.quarantine.crashes.known.values()
+            known = self.quarantine.crashes.by_name.values()
             reply(self.frame(known, compare=not message.whole, whole=True))
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.knowledge import Knowledge
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import Prepared
 from sequoiaspoke.sidecar.gossip import Gossip
@@ -229,7 +229,7 @@
         """Take a reader's word that it has read nothing since it last told."""
         as_of, answered_at = confirmed.as_of - ahead, confirmed.answered_at - ahead
         self.state.heard_of_store(answered_at)
-        self.state.learn(Knowledge(confirmed.revision, as_of))
+        self.state.learn(StateUpdate(confirmed.revision, as_of))
         self.duty.confirm(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -9,8 +9,8 @@
 from sequoiaspoke.core.mesh.configdelta import ConfigHistory
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.evacuation import Evacuations
-from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.core.mesh.model import Published
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.changelog import log_endpoints, log_evacuations
@@ -297,7 +297,7 @@
 
     # From other nodes.
 
-    def learn(self, knowledge: Knowledge) -> None:
+    def learn(self, knowledge: StateUpdate) -> None:
         """Take what another node knows; KeyError if its configuration has no base here.
 
         Each item is taken only if it is newer than what is known of it.
@@ -309,14 +309,14 @@
         self.heard_of_store(knowledge.as_of)
         directory = self.directory
         before = directory.serial
-        if knowledge.whole:
+        if knowledge.is_snapshot:
             directory.reconcile(
                 knowledge.endpoints, knowledge.revision, now, trusted=True
             )
         else:
             for each in knowledge.endpoints:
                 directory.put(each.endpoint, each.revision, now, True, each.readable)
-        for departure in knowledge.gone:
+        for departure in knowledge.departures:
             directory.apply_departure(departure, now)
         for departure in knowledge.lapsing:
             directory.remove(departure.instance, departure.revision, now)
@@ -338,14 +338,14 @@
         if when > max(self.lost_at, self.answered_at):
             self.store_answered(when)
 
-    def knowledge(self, serial: int, version: int) -> Knowledge:
+    def knowledge(self, serial: int, version: int) -> StateUpdate:
         """Return what is known here beyond a count of changes and a version."""
         held, gone = self.directory.changed_since(serial)
         now = clock.now()
-        return Knowledge(
+        return StateUpdate(
             revision=self.revision,
             as_of=self.as_of,
-            whole=serial == 0,
+            is_snapshot=serial == 0,
             endpoints=tuple(
                 Published(
                     replace(each.endpoint, cold_seconds=each.cold_remaining(now)),
@@ -354,7 +354,7 @@
                 )
                 for each in held
             ),
-            gone=tuple(gone),
+            departures=tuple(gone),
             lapsing=tuple(self.directory.lapsing()),
             config=self.history.delta_since(version),
             config_revision=self.config_revision,
--- a/sequoiaspoke/sidecar/wireknowledge.py
+++ b/sequoiaspoke/sidecar/wireknowledge.py
@@ -9,7 +9,6 @@
 
 from sequoiaspoke.core.mesh.configdelta import ConfigDelta
 from sequoiaspoke.core.mesh.evacuation import Evacuation
-from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.core.mesh.model import (
     CallerLimits,
     Departure,
@@ -18,6 +17,7 @@
     Route,
     Service,
 )
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
@@ -27,7 +27,7 @@
 CONFIG_BYTES = 16 << 20
 
 
-def pack(knowledge: Knowledge) -> wire.Knowledge:
+def pack(knowledge: StateUpdate) -> wire.Knowledge:
     """Return the message for what a node knows."""
     config = None
     if knowledge.config is not None:
@@ -35,16 +35,16 @@
     return wire.Knowledge(
         revision=knowledge.revision,
         as_of=knowledge.as_of,
-        whole=knowledge.whole,
+        whole=knowledge.is_snapshot,
         endpoints=[pack_endpoint(each) for each in knowledge.endpoints],
-        gone=[pack_departure(each) for each in knowledge.gone],
+        gone=[pack_departure(each) for each in knowledge.departures],
         lapsing=[pack_departure(each) for each in knowledge.lapsing],
         config=config,
         evacuations=pack_evacuations(knowledge.evacuations),
     )
 
 
-def unpack(message: wire.Knowledge, ahead: float) -> Knowledge:
+def unpack(message: wire.Knowledge, ahead: float) -> StateUpdate:
     """Return what a node knows from its message; raise MessageError.
 
     Parameters
@@ -55,12 +55,12 @@
     config, config_revision = None, 0
     if message.config is not None:
         config, config_revision = unpack_config(message.config)
-    return Knowledge(
+    return StateUpdate(
         revision=message.revision,
         as_of=message.as_of - ahead,
-        whole=message.whole,
+        is_snapshot=message.whole,
         endpoints=tuple(unpack_endpoint(each) for each in message.endpoints),
-        gone=tuple(unpack_departure(each) for each in message.gone),
+        departures=tuple(unpack_departure(each) for each in message.gone),
         lapsing=tuple(unpack_departure(each) for each in message.lapsing),
         config=config,
         config_revision=config_revision,
--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -270,7 +270,7 @@
         return {
             fingerprint
             for node in self.nodes.values()
-            for crash in node.sidecar.home.suspicion.quarantine.crashes.known.values()
+            for crash in node.sidecar.home.suspicion.quarantine.crashes.by_name.values()
             for fingerprint in crash.uncleared_proven
         }
 
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -6,7 +6,6 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh.directory import Directory
-from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.core.mesh.model import (
     Departure,
     Endpoint,
@@ -16,6 +15,7 @@
 )
 from sequoiaspoke.core.mesh.outcome import Answer, Request, Unknown
 from sequoiaspoke.core.mesh.placing import News, Placing
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.home import Home
@@ -188,16 +188,16 @@
 
 class PackedIncarnationTests(TestCase):
     def test_incarnations_and_departures_survive_packing(self):
-        knowledge = Knowledge(
+        update = StateUpdate(
             revision=9,
             as_of=40.0,
-            whole=False,
+            is_snapshot=False,
             endpoints=(Published(NEW, 8), Published(OTHER, 6, readable=False)),
-            gone=(Departure("i-3", FIRST, 7, True),),
+            departures=(Departure("i-3", FIRST, 7, True),),
             lapsing=(Departure("i-4", LATER, 8),),
             config=None,
         )
-        self.assertEqual(unpack(pack(knowledge), 0.0), knowledge)
+        self.assertEqual(unpack(pack(update), 0.0), update)
 
 
 class PlacingTests(TestCase):
--- a/sequoiaspoke/tests/test_mesh_quarantine.py
+++ b/sequoiaspoke/tests/test_mesh_quarantine.py
@@ -79,9 +79,9 @@
         known.add(crash(1), NOW)
         known.add(crash(2, proven="a"), NOW)
         known.expire(NOW + KEEP_SECONDS + 1)
-        self.assertEqual(list(known.known), ["i-2@1"])
+        self.assertEqual(list(known.by_name), ["i-2@1"])
         known.expire(NOW + PROVEN_KEEP_SECONDS + 1)
-        self.assertEqual((known.known, known.by_request), ({}, {}))
+        self.assertEqual((known.by_name, known.by_request), ({}, {}))
         self.assertIsNone(known.add(crash(1), NOW + KEEP_SECONDS + 1))
 
     def test_the_number_of_crashes_is_limited(self):
@@ -91,9 +91,9 @@
         known.add(crash("proven", proven="a", at=NOW - 1), NOW)
         for number in range(2000):
             known.add(crash(number, suspects=(f"x{number}",), at=NOW + number), NOW)
-        self.assertEqual(len(known.known), 50)
+        self.assertEqual(len(known.by_name), 50)
         self.assertEqual(len(known.by_request), 51)
-        self.assertIn("i-proven@1", known.known)
+        self.assertIn("i-proven@1", known.by_name)
 
     def test_a_report_keeps_its_age_when_packed(self):
         packed = pack_crash(crash(1, proven="a", cleared="b"), NOW + 4)
