--- a/sequoiaspoke/tests/evacuationsim.py
+++ b/sequoiaspoke/tests/evacuationsim.py
@@ -4,8 +4,8 @@
 import random
 
 from sequoiaspoke.tests.spreadsim import (
-    CALM_SECONDS,
     EVACUATION_PREFIX,
+    FAULT_FREE_SECONDS,
     ZONES,
     SpreadWorld,
 )
@@ -95,4 +95,4 @@
         return sorted({host for node in nodes for host in node.sidecar.duty.readers})
 
     async def settle(self):
-        await asyncio.sleep(CALM_SECONDS + 1.0)
+        await asyncio.sleep(FAULT_FREE_SECONDS + 1.0)
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -33,7 +33,7 @@
 NODES_PER_ZONE = 4
 # Seconds within which a node has to act on a change, and seconds before the change from
 # on which the node and the store must have had no fault for the check to count.
-ACT_SECONDS, CALM_SECONDS = 2.0, 3.0
+ACT_SECONDS, FAULT_FREE_SECONDS = 2.0, 3.0
 # Checks that a run needs at least; a run with too many faults to check is prolonged.
 MIN_CHECKS = 10
 # Timeouts of a read, of a wait for changes beyond its length, which is the same, and of
@@ -154,8 +154,8 @@
         await self.reach(READ_SECONDS)
         store = self.world.store
         newest = {item.key: item for item in store.since(after)}
-        standing = store.evacuations()
-        return Changes((*newest.values(), *standing), store.revision, True)
+        evacuations = store.evacuations()
+        return Changes((*newest.values(), *evacuations), store.revision, True)
 
     async def endpoints_since(self, after):
         await self.reach(READ_SECONDS)
@@ -319,21 +319,24 @@
 
     async def check_applied(self, check):
         """Check that every node without faults acts on a change in time."""
-        made = self.now()
+        changed_at = self.now()
         await asyncio.sleep(ACT_SECONDS)
         for host, node in self.nodes.items():
-            calm = made - CALM_SECONDS
+            fault_free_since = changed_at - FAULT_FREE_SECONDS
             if (
                 not node.up
-                or node.started_at > calm
-                or self.last_fault_at["store"] > calm
+                or node.started_at > fault_free_since
+                or self.last_fault_at["store"] > fault_free_since
             ):
                 continue
-            if host in self.cut_from_store or self.last_fault_at.get(host, 0.0) > calm:
+            if (
+                host in self.cut_from_store
+                or self.last_fault_at.get(host, 0.0) > fault_free_since
+            ):
                 continue
             self.checked += 1
             if not check(node.sidecar.state):
-                self.problems.append(f"{host}: change of {made:.2f} not acted on")
+                self.problems.append(f"{host}: change of {changed_at:.2f} not acted on")
 
     # Faults.
 
@@ -431,7 +434,7 @@
         await asyncio.sleep(5.0)
         await asyncio.gather(self.changes(seconds), self.faults(seconds))
         while self.checked <= MIN_CHECKS:
-            await self.changes(CALM_SECONDS)
+            await self.changes(FAULT_FREE_SECONDS)
         await asyncio.sleep(15.0)
         self.check_final_state()
         for node in self.nodes.values():
@@ -459,6 +462,6 @@
                 self.problems.append(f"{host}: ended with other evacuations")
 
 
-def play(seed, case, world=SpreadWorld, **options):
+def simulate(seed, case, world=SpreadWorld, **options):
     """Run a seed and return the world."""
     return play_world(lambda: world(seed), case, **options)
--- a/sequoiaspoke/tests/test_evacuation_sim.py
+++ b/sequoiaspoke/tests/test_evacuation_sim.py
@@ -6,7 +6,7 @@
 
 from sequoiaspoke.sidecar.source import Changes
 from sequoiaspoke.tests.evacuationsim import ScriptedWorld
-from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, ZONES, NodeStore, play
+from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, ZONES, NodeStore, simulate
 
 AKAKI, BOLE = ZONES
 
@@ -33,7 +33,7 @@
 class EvacuationFaultTests(TestCase):
     def check_seeds(self, script):
         for seed in range(4):
-            world = play(seed, self, lambda seed: ScriptedWorld(seed, script))
+            world = simulate(seed, self, lambda seed: ScriptedWorld(seed, script))
             self.assertEqual((seed, world.problems), (seed, []))
         return world
 
@@ -114,7 +114,9 @@
             return Changes(tuple(kept), read.revision)
 
         self.patch(NodeStore, "catch_up", versions_only)
-        world = play(1, self, lambda seed: ScriptedWorld(seed, evacuate_during_updates))
+        world = simulate(
+            1, self, lambda seed: ScriptedWorld(seed, evacuate_during_updates)
+        )
         self.assertTrue(any("not acted on" in each for each in world.problems))
 
     def test_an_evacuation_ends_while_the_store_drops_its_history(self):
--- a/sequoiaspoke/tests/test_mesh_clocks.py
+++ b/sequoiaspoke/tests/test_mesh_clocks.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.tests.meshsim import play
-from sequoiaspoke.tests.spreadsim import play as play_following
+from sequoiaspoke.tests.spreadsim import simulate as play_following
 
 STEPS = (0.0, 2400.0, -5.0, 60.0, -2400.0, 1e6, -1e9)  # seconds, in turn
 SEEDS = (3, 11)
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -17,7 +17,7 @@
 from sequoiaspoke.sidecar.source import Changes, StoreItem
 from sequoiaspoke.sidecar.state import MeshState
 from sequoiaspoke.tests.evacuationsim import EvacuationWorld
-from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, Items, play
+from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, Items, simulate
 from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, HeldUpstream
 
 SEEDS = range(16)
@@ -182,7 +182,7 @@
 
 
 class EvacuatedHomeTests(TestCase):
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
@@ -222,7 +222,7 @@
             self.assertIsInstance(self.outcomes["a"], Answer)
             self.assertEqual(self.upstream.ran, ["a", "b"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_new_calls_are_refused_from_any_entry(self):
         # An entry that has not learned of the evacuation yet sends a call.
@@ -237,7 +237,7 @@
             await asyncio.sleep(0)
             self.assertEqual(self.upstream.ran, ["b"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
 
 class SpreadTests(TestCase):
@@ -248,12 +248,12 @@
         # versions follow each other quickly. Each node without faults acts on the start
         # and end of each evacuation within two seconds, and finally all nodes agree.
         for seed in SEEDS:
-            world = play(seed, self, EvacuationWorld)
+            world = simulate(seed, self, EvacuationWorld)
             self.assertEqual((seed, world.problems), (seed, []))
 
     def assert_detected(self, expected):
         for seed in SEEDS:
-            problems = play(seed, self, EvacuationWorld).problems
+            problems = simulate(seed, self, EvacuationWorld).problems
             if any(expected in problem for problem in problems):
                 return
         self.fail(f"no run reports: {expected}")
@@ -266,8 +266,8 @@
             self.complete_to = 0
             return apply(self, evacuation)
 
-        def forget_ended(self, standing, revision):
-            for zone in self.zones.difference(standing):
+        def forget_ended(self, active, revision):
+            for zone in self.zones.difference(active):
                 del self.latest[zone]
 
         self.patch(Evacuations, "apply", unguarded)
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -177,9 +177,9 @@
     def test_subscribers_learn_of_it(self):
         count = self.directory.serial
         self.directory.mark_unreadable("i-1", 7)
-        held, _ = self.directory.changed_since(count)
+        records, _ = self.directory.changed_since(count)
         subscriber = Directory()
-        for each in held:
+        for each in records:
             subscriber.put(each.endpoint, each.revision, 1.0, True, each.readable)
         self.assertEqual(subscriber.serving("fleet"), ())
         self.assertTrue(subscriber.put(OLD, 8, 1.0))
@@ -247,7 +247,7 @@
 
 
 class HomeTests(TestCase):
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
@@ -289,7 +289,7 @@
             self.assertEqual(self.outcomes, [Unknown("connection-lost")] * 2)
             self.assertEqual(self.upstream.ran, ["/order"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_an_answer_of_an_earlier_incarnation_is_returned(self):
         # The link broke before the answer arrived, and the entry sends the call again
@@ -303,7 +303,7 @@
             self.assertEqual([type(each) for each in self.outcomes], [Answer, Answer])
             self.assertEqual(self.upstream.ran, ["/order"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_connections_and_durations_are_reset_on_restart(self):
         async def scenario():
@@ -317,7 +317,7 @@
             self.assertTrue(admission.durations.expected("r", 9.0) < 1.0)
             self.assertEqual(self.home.incarnation, Incarnation("i-1", LATER))
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_a_waiting_call_runs_at_the_later_incarnation(self):
         async def scenario():
@@ -330,4 +330,4 @@
             await asyncio.sleep(0.01)
             self.assertEqual(self.upstream.ran, ["/1", "/2"])
 
-        self.play(scenario)
+        self.run_scenario(scenario)
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -200,9 +200,9 @@
         count = self.directory.serial
         self.directory.put(endpoint("i-2"), 6, 10.0)
         self.directory.remove("i-1", 7, 10.0)
-        held, gone = self.directory.changed_since(count)
-        self.assertEqual([each.endpoint.instance for each in held], ["i-2"])
-        self.assertEqual(gone, [Departure("i-1", 0, 7)])
+        records, departures = self.directory.changed_since(count)
+        self.assertEqual([each.endpoint.instance for each in records], ["i-2"])
+        self.assertEqual(departures, [Departure("i-1", 0, 7)])
 
     def test_a_repeated_message_is_no_change(self):
         # Two readers forward to each other what they read. If a departure that is
--- a/sequoiaspoke/tests/test_spread_sim.py
+++ b/sequoiaspoke/tests/test_spread_sim.py
@@ -11,7 +11,7 @@
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.reading import ReadingDuty
 from sequoiaspoke.sidecar.follower import Follower
-from sequoiaspoke.tests.spreadsim import NodeStore, play
+from sequoiaspoke.tests.spreadsim import NodeStore, simulate
 
 SEEDS = int(os.environ.get("MESH_SEEDS", "48"))
 PARTS = 4  # tests among which the seeds are divided, to run in parallel
@@ -29,7 +29,7 @@
 class FollowingTests(TestCase):
     def check_seeds(self, seeds):
         for seed in seeds:
-            world = play(seed, self)
+            world = simulate(seed, self)
             self.assertEqual((seed, world.problems), (seed, []))
             self.assertTrue(world.checked > 10, world.checked)
 
@@ -69,7 +69,7 @@
 
     def assert_detected(self, expected, seeds=range(MAX_SEEDS)):
         for seed in seeds:
-            problems = play(seed, self).problems
+            problems = simulate(seed, self).problems
             if any(expected in problem for problem in problems):
                 return
         self.fail(f"no run reports: {expected}")
