--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -51,7 +51,7 @@
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
         self.count = itertools.count(1)
-        # In order, so that one seed gives one history.
+        # A dict keeps its order, so that runs of one seed are equal.
         self.running = {}
         self.start()
 
