--- a/sequoiaspoke/core/mesh/knowledge.py
+++ b/sequoiaspoke/core/mesh/stateupdate.py
@@ -1,4 +1,4 @@
-"""What one node tells another of the platform."""
+"""State of the platform as one node sends it to another."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 @dataclass(frozen=True)
-class Knowledge:
-    """What a node knows, or what has changed in it.
+class StateUpdate:
+    """A snapshot of a node's state, or the changes since an earlier one.
 
     Attributes
     ----------
     revision : int
-        Revision of the store up to which this goes.
+        Revision of the store that this reflects.
     as_of : float
-        When that was current, by the clock of the node that holds this.
-    whole : bool
-        Whether these are all endpoints; one that is not here has left.
-    gone : tuple of Departure
-        Instances that left.
+        When that was current, by the local node's clock.
+    is_snapshot : bool
+        Whether the endpoints are a complete list; a missing one has departed.
+    departures : tuple of Departure
+        Instances that departed.
     lapsing : tuple of Departure
-        Instances whose entries vanished as the teller thought the store to have been
-        away; who is told judges by what it knows of the store.
+        Instances whose entries vanished around an outage of the store as the sender saw
+        it; the receiver decides by its own view of the store whether to keep them.
     config : ConfigDelta or None
         None if the configuration has not changed.
     evacuations : tuple of Evacuation or None
-        The last order of each zone; None if nothing is told of them.
+        The last order of each zone; None if the message does not list them.
     """
 
     revision: int
     as_of: float
-    whole: bool = False
+    is_snapshot: bool = False
     endpoints: tuple[Published, ...] = ()
-    gone: tuple[Departure, ...] = ()
+    departures: tuple[Departure, ...] = ()
     lapsing: tuple[Departure, ...] = ()
     config: ConfigDelta | None = None
     config_revision: int = 0
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -131,7 +131,7 @@
 
     def node_count(self) -> int:
         """Return the number of nodes with an endpoint, at least 1."""
-        return max(1, self.state.directory.hosts())
+        return max(1, self.state.directory.host_count())
 
     def age(self) -> float:
         """Return the age of this node's knowledge in seconds."""
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.knowledge import Knowledge
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import SharedFrame
 from sequoiaspoke.sidecar.gossip import Gossip
@@ -156,7 +156,7 @@
             self.config_deferred |= deferred
             base = each.version if lacks_config and not deferred else state.version
             changed = each.serial != state.directory.serial or base != state.version
-            changed |= each.rates_serial != self.duty.rates_learnt
+            changed |= each.rates_serial != self.duty.rates_serial
             changed |= each.evacuations_serial != state.evacuations.serial
             if not changed and each.confirmed >= state.read_at:
                 continue
@@ -164,7 +164,7 @@
             if key not in packed:
                 packed[key] = SharedFrame(self.frame_since(*key))
             each.serial = state.directory.serial
-            each.rates_serial = self.duty.rates_learnt
+            each.rates_serial = self.duty.rates_serial
             each.evacuations_serial = state.evacuations.serial
             if not deferred:
                 each.version = max(each.version, state.version)
@@ -182,12 +182,12 @@
         state = self.state
         unchanged = (serial, version) == (state.directory.serial, state.version)
         unchanged &= evacuations_serial == state.evacuations.serial
-        rates_unchanged = rates_serial == self.duty.rates_learnt
+        rates_unchanged = rates_serial == self.duty.rates_serial
         if (
             unchanged
             and rates_unchanged
             and serial
-            and not state.directory.lapses.vanished
+            and not state.directory.lapses.vanished_at
         ):
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
@@ -229,7 +229,7 @@
         except KeyError:
             # The delta has a base version that this node never had.
             return False
-        self.duty.heard(received.as_of)
+        self.duty.confirm(received.as_of)
         return True
 
     def handle_confirmation(
@@ -241,8 +241,8 @@
             confirmed.answered_at - clock_offset,
         )
         self.state.heard_of_store(answered_at)
-        self.state.learn(Knowledge(confirmed.revision, as_of))
-        self.duty.heard(as_of, answered_at)
+        self.state.learn(StateUpdate(confirmed.revision, as_of))
+        self.duty.confirm(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
         """Subscribe to a reader whose link was established."""
@@ -259,7 +259,7 @@
         """Subscribe to a reader."""
         host = link.address[0]
         self.reader_links[host] = link
-        first = host == self.duty.first_reader
+        first = host == self.duty.primary_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
         if self.crash_news is not None:
             self.crash_news.tell_all(link.send)
@@ -269,12 +269,12 @@
 
         The second reader then need not send it at all.
         """
-        current = (self.state.version, self.duty.first_reader)
+        current = (self.state.version, self.duty.primary_reader)
         if current == self.announced:
             return
         self.announced = current
         for host, link in self.reader_links.items():
-            link.announce_version(self.state.version, host == self.duty.first_reader)
+            link.announce_version(self.state.version, host == self.duty.primary_reader)
 
     def follow_readers(self, peers: Peers) -> None:
         """Keep links to the zone's readers, and subscribe to new ones."""
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -9,8 +9,8 @@
 from sequoiaspoke.core.mesh.configdelta import ConfigHistory
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.evacuation import Evacuations
-from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.core.mesh.model import Published
+from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.changelog import log_endpoints, log_evacuations
@@ -96,7 +96,7 @@
         Counted in, two such would be taken for the readers of a zone, and nobody
         would read for it.
         """
-        held = [each.endpoint for each in self.directory.held.values()]
+        held = [each.endpoint for each in self.directory.records.values()]
         if self.table is None:
             return held
         services = self.table.config.services
@@ -105,7 +105,7 @@
     @property
     def complete(self) -> bool:
         """Return whether calls can be decided at all."""
-        return self.table is not None and bool(self.directory.held)
+        return self.table is not None and bool(self.directory.records)
 
     @property
     def version(self) -> int:
@@ -175,7 +175,7 @@
         known_before = self.answered_at > float("-inf")
         gap = when - self.answered_at if known_before else 0.0
         self.answered_at = max(self.answered_at, when)
-        self.directory.lapses.reached_store(when, gap)
+        self.directory.lapses.store_reached(when, gap)
 
     def store_failed(self, code: str, reason: str) -> None:
         """Note that the store cannot be read."""
@@ -183,7 +183,7 @@
         if not self.directory.lapses.outage:
             self.log.event("store-lost", code=code, reason=reason)
         self.lost_at = clock.now()
-        self.directory.lapses.lost_store()
+        self.directory.lapses.store_lost()
 
     def confirmed(self, revision: int, now: float) -> None:
         """Note up to which revision and as of when everything is known."""
@@ -223,13 +223,15 @@
             if endpoint is not None:
                 self.directory.put(endpoint, item.revision, now)
             else:
-                self.directory.obscure(self.decoder.instance(item.key), item.revision)
+                self.directory.mark_unreadable(
+                    self.decoder.instance(item.key), item.revision
+                )
 
     def take_evacuation(self, item: StoreItem) -> None:
         """Take the beginning or the end of an evacuation."""
         evacuation = self.items.evacuation(item)
         if evacuation is not None:
-            self.evacuations.take(evacuation)
+            self.evacuations.apply(evacuation)
         self.apply_evacuations("store")
 
     def end_evacuations(self, read: Changes) -> None:
@@ -243,22 +245,22 @@
             if self.decoder.kind(item.key) == ItemDecoder.EVACUATION
             and item.value is not None
         )
-        self.evacuations.end_others(standing, read.revision)
+        self.evacuations.end_missing(standing, read.revision)
         self.apply_evacuations("store")
 
     def apply_evacuations(self, source: str) -> None:
         """Act on the evacuations in force, and log what changed."""
         grouping, zones = self.directory.grouping, self.evacuations.zones
-        before = grouping.closed_zones
+        before = grouping.excluded_zones
         if zones != before:
-            grouping.close_zones(zones)
+            grouping.exclude_zones(zones)
             log_evacuations(self.log, self.directory, before, source)
 
     def take_removal(self, item: StoreItem, now: float) -> None:
         """Take the end of an endpoint's entry."""
         instance = self.decoder.instance(item.key)
         gone = self.directory.remove(instance, item.revision, now)
-        if not gone and instance in self.directory.lapses.until:
+        if not gone and instance in self.directory.lapses.kept_until:
             self.log.event(
                 "endpoint-missing", instance=instance, revision=item.revision
             )
@@ -295,7 +297,7 @@
 
     # From other nodes.
 
-    def learn(self, knowledge: Knowledge) -> None:
+    def learn(self, knowledge: StateUpdate) -> None:
         """Take what another node knows; KeyError if its configuration has no base here.
 
         Each item is taken only if it is newer than what is known of it.
@@ -307,19 +309,19 @@
         self.heard_of_store(knowledge.as_of)
         directory = self.directory
         before = directory.serial
-        if knowledge.whole:
+        if knowledge.is_snapshot:
             directory.reconcile(
                 knowledge.endpoints, knowledge.revision, now, trusted=True
             )
         else:
             for each in knowledge.endpoints:
                 directory.put(each.endpoint, each.revision, now, True, each.readable)
-        for departure in knowledge.gone:
-            directory.take_departure(departure, now)
+        for departure in knowledge.departures:
+            directory.apply_departure(departure, now)
         for departure in knowledge.lapsing:
             directory.remove(departure.instance, departure.revision, now)
         if knowledge.evacuations is not None:
-            self.evacuations.take_list(knowledge.evacuations, knowledge.revision)
+            self.evacuations.apply_list(knowledge.evacuations, knowledge.revision)
             self.apply_evacuations("node")
         log_endpoints(self.log, self.directory, before, "node")
         self.complete_to(knowledge.revision)
@@ -336,25 +338,25 @@
         if when > max(self.lost_at, self.answered_at):
             self.store_answered(when)
 
-    def knowledge(self, serial: int, version: int) -> Knowledge:
+    def knowledge(self, serial: int, version: int) -> StateUpdate:
         """Return what is known here beyond a count of changes and a version."""
         held, gone = self.directory.changed_since(serial)
         now = clock.now()
-        return Knowledge(
+        return StateUpdate(
             revision=self.revision,
             as_of=self.as_of,
-            whole=serial == 0,
+            is_snapshot=serial == 0,
             endpoints=tuple(
                 Published(
-                    replace(each.endpoint, cold_seconds=each.cold_left(now)),
+                    replace(each.endpoint, cold_seconds=each.cold_remaining(now)),
                     each.revision,
                     each.readable,
                 )
                 for each in held
             ),
-            gone=tuple(gone),
-            lapsing=tuple(self.directory.doubted()),
-            config=self.history.since(version),
+            departures=tuple(gone),
+            lapsing=tuple(self.directory.lapsing()),
+            config=self.history.delta_since(version),
             config_revision=self.config_revision,
             evacuations=tuple(self.evacuations.latest.values()),
         )
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -39,7 +39,7 @@
         "held": held_requests(home.suspicion.quarantine, now),
         "details": {
             "age": f"{min(state.age(now), 1e6):.1f}s",
-            "endpoints": len(state.directory.held),
+            "endpoints": len(state.directory.records),
             "evacuated-zones": sorted(state.evacuations.zones),
             "suspected": len(home.suspicion.quarantine.crashes.by_request),
             "cold": f"{max(0.0, cold.cold_until - now):.1f}s",
@@ -64,10 +64,10 @@
                 {
                     "instance": crash.instance,
                     "seconds_ago": round(now - crash.at, 1),
-                    "alone": fingerprint in crash.culprits,
+                    "alone": fingerprint in crash.uncleared_proven,
                 }
-                for crash in quarantine.crashes.of(service, fingerprint)
+                for crash in quarantine.crashes.for_request(service, fingerprint)
             ],
         }
-        for (service, fingerprint), seconds in quarantine.held(now).items()
+        for (service, fingerprint), seconds in quarantine.held_requests(now).items()
     ]
--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -1,4 +1,4 @@
-"""Whole sidecars on a virtual clock beside upstreams that some requests crash."""
+"""Simulation of whole sidecars beside upstreams that some requests crash."""
 
 import asyncio
 import itertools
@@ -20,18 +20,18 @@
 
 SERVICE = "fleet"
 READ, ORDER = "read", "order"
-# Seconds for which callers wait, and attempts that each makes.
-PATIENCE, ATTEMPTS = 2.5, 2
-# Seconds of an ordinary call, and until a request that crashes its upstream does so.
-WORK, CRASHES_AFTER = (0.1, 0.3), 0.05
-# Seconds until a crashed upstream is back, and until the store drops its entry.
-DOWN, LEASE = (2.0, 3.5), 1.5
-# Seconds after the third crash from which further runs count, and how many may follow.
-KNOWN_WITHIN, RUNS_MORE = 3.0, 3
+# Seconds for which callers wait, and attempts that each of them makes.
+CALLER_TIMEOUT, CALLER_ATTEMPTS = 2.5, 2
+# Seconds that an ordinary call takes, and until a crashing request takes effect.
+SERVICE_SECONDS, CRASH_DELAY = (0.1, 0.3), 0.05
+# Seconds until a crashed upstream has restarted, and until the store drops its entry.
+RESTART_SECONDS, ENTRY_LIFETIME = (2.0, 3.5), 1.5
+# Seconds after the third crash from which further runs count, and their limit.
+DETECTION_SECONDS, MAX_LATER_RUNS = 3.0, 3
 
 
 class CrashItems(Items):
-    """The same items, with one route for reads and one for orders."""
+    """Decodes items; each version has one route for reads and one for orders."""
 
     def config(self, value):
         version = int(value.decode().split(",")[0])
@@ -44,19 +44,19 @@
 
 
 class CrashingUpstream:
-    """An upstream that ends under some requests and starts anew."""
+    """An upstream that some requests crash and that restarts after it."""
 
     told_load = None
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
         self.count = itertools.count(1)
-        # In order, so that one seed gives one history.
+        # A dict keeps its order, so that runs of one seed are equal.
         self.running = {}
         self.start()
 
     def start(self):
-        """Start under another name and tell the store."""
+        """Start under a new instance name and register in the store."""
         self.up = True
         self.instance = f"{self.zone}/{self.host}/{next(self.count)}"
         self.world.store.put(self.instance, b"0")
@@ -67,15 +67,15 @@
         on_send()
         if instance != self.instance:
             return NotRun("instance-replaced", reached=True)
-        self.world.note_run(request, self)
+        self.world.record_run(request, self)
         ended = asyncio.get_running_loop().create_future()
         self.running[ended] = None
         if request.target in self.world.crashing:
             asyncio.get_running_loop().call_later(
-                CRASHES_AFTER, self.crash, request.target, self.instance
+                CRASH_DELAY, self.crash, request.target, self.instance
             )
         try:
-            async with asyncio.timeout(self.world.rng.uniform(*WORK)):
+            async with asyncio.timeout(self.world.rng.uniform(*SERVICE_SECONDS)):
                 await ended
         except TimeoutError:
             return Answer(200, (), request.target.encode(), 0.2)
@@ -87,16 +87,16 @@
         return not self.up
 
     def crash(self, target="", instance=None):
-        """End; all that runs is lost."""
+        """Crash; all running calls are lost."""
         if not self.up or instance not in (None, self.instance):
             return
         self.up = False
-        self.world.note_crash(target)
+        self.world.record_crash(target)
         for ended in list(self.running):
             ended.set_result(None)
         loop = asyncio.get_running_loop()
-        loop.call_later(LEASE, self.world.store.put, self.instance, None)
-        loop.call_later(self.world.rng.uniform(*DOWN), self.start)
+        loop.call_later(ENTRY_LIFETIME, self.world.store.put, self.instance, None)
+        loop.call_later(self.world.rng.uniform(*RESTART_SECONDS), self.start)
 
     def forget_connections(self):
         pass
@@ -106,7 +106,7 @@
 
 
 class CrashNode(SpreadNode):
-    """A sidecar beside an upstream that outlives it."""
+    """A sidecar beside an upstream that keeps running when the sidecar is killed."""
 
     decoder = CrashItems
 
@@ -122,15 +122,15 @@
 
 
 class CrashWorld(SpreadWorld):
-    """A world with callers, of whom some ask for what crashes upstreams.
+    """A world with callers, some of which send requests that crash upstreams.
 
     Attributes
     ----------
     crashing : set of str
-        Targets of the requests that crash each upstream which begins to run them.
+        Targets of the requests that crash each upstream that starts to run them.
     """
 
-    nodes_a_zone = 3
+    nodes_per_zone = 3
 
     def __init__(self, seed, zones=("akaki", "bole")):
         super().__init__(seed)
@@ -146,29 +146,29 @@
     def start(self):
         self.publish()
         for zone in self.zones:
-            for number in range(self.nodes_a_zone):
+            for number in range(self.nodes_per_zone):
                 host = f"{zone}-{number}"
                 self.nodes[host] = CrashNode(self, host, zone)
 
-    def note_run(self, request, upstream):
+    def record_run(self, request, upstream):
         self.runs[request.target].append(self.now())
 
-    def note_crash(self, target):
+    def record_crash(self, target):
         self.crashes[target].append(self.now())
 
     # Callers.
 
-    async def ask(self, target, attempts=ATTEMPTS, zone=None):
-        """Make a call as its caller does; return whether it was served."""
-        end = self.now() + PATIENCE
+    async def call(self, target, attempts=CALLER_ATTEMPTS, zone=None):
+        """Make a call with a caller's retries; return whether it was served."""
+        end = self.now() + CALLER_TIMEOUT
         for _ in range(attempts):
             left = end - self.now()
             answer = await self.attempt(target, left, zone)
             if answer is not None and answer.status == 200:
                 return True
             if answer is not None and answer.status == 503:
-                told = float(find_header(answer.headers, "retry-after") or 0)
-                await asyncio.sleep(min(told, left / 3))
+                retry_after = float(find_header(answer.headers, "retry-after") or 0)
+                await asyncio.sleep(min(retry_after, left / 3))
             elif target.startswith(f"/{ORDER}/"):
                 return False
         return False
@@ -194,7 +194,7 @@
         except asyncio.CancelledError:
             return None
 
-    def request(self, target, left=PATIENCE):
+    def request(self, target, left=CALLER_TIMEOUT):
         headers = (
             ("Host", "x"),
             ("X-Request-Id", str(self.calls)),
@@ -205,44 +205,44 @@
     def fingerprint(self, target):
         return self.request(target).fingerprint
 
-    async def crowd(self, seconds, rate):
-        """Let callers come who ask for something else each."""
+    async def vary_requests(self, seconds, rate):
+        """Let callers arrive that each send a different request."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.caller_rng.expovariate(rate))
             kind = self.caller_rng.choice((READ, READ, ORDER))
-            callers.append(asyncio.ensure_future(self.ask_once(kind, len(callers))))
+            callers.append(asyncio.ensure_future(self.call_once(kind, len(callers))))
         await asyncio.gather(*callers)
 
-    async def ask_once(self, kind, number):
+    async def call_once(self, kind, number):
         begun = self.now()
-        served = await self.ask(f"/{kind}/{number}-{begun:.3f}")
+        served = await self.call(f"/{kind}/{number}-{begun:.3f}")
         if kind == READ:
             self.served.append((begun, served))
 
-    async def repeat(self, target, seconds, pause=0.3, zone=None):
-        """Let callers ask for what crashes upstreams again and again."""
+    async def send_crashing(self, target, seconds, pause=0.3, zone=None):
+        """Let callers send one request that crashes upstreams again and again."""
         self.crashing.add(target)
         callers = []
         end = self.now() + seconds
         while self.now() < end:
-            callers.append(asyncio.ensure_future(self.ask(target, zone=zone)))
+            callers.append(asyncio.ensure_future(self.call(target, zone=zone)))
             await asyncio.sleep(self.caller_rng.expovariate(1 / pause))
         await asyncio.gather(*callers)
 
-    async def ask_often(self, target, seconds, rate=40.0):
-        """Let callers ask for the same, which crashes nothing."""
+    async def send_popular(self, target, seconds, rate=40.0):
+        """Let callers send one harmless request again and again."""
         callers = []
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.caller_rng.expovariate(rate))
-            callers.append(asyncio.ensure_future(self.ask_popular(target)))
+            callers.append(asyncio.ensure_future(self.call_popular(target)))
         await asyncio.gather(*callers)
 
-    async def ask_popular(self, target):
+    async def call_popular(self, target):
         begun = self.now()
-        self.served.append((begun, await self.ask(target)))
+        self.served.append((begun, await self.call(target)))
 
     def cut_zones(self, zone, other):
         """Cut all links between two zones."""
@@ -253,71 +253,73 @@
             if (first.zone, second.zone) == (zone, other)
         }
 
-    # What nodes know.
+    # State of the nodes.
 
-    def held(self):
-        """Return all that some node holds back."""
+    def held_requests(self):
+        """Return the requests that some node holds back."""
         return {
             request
             for node in self.nodes.values()
-            for request in node.sidecar.home.suspicion.quarantine.held(self.now())
+            for request in node.sidecar.home.suspicion.quarantine.held_requests(
+                self.now()
+            )
         }
 
     def proven(self):
-        """Return all that some node takes for proven."""
+        """Return the fingerprints that some node takes for proven."""
         return {
             fingerprint
             for node in self.nodes.values()
-            for crash in node.sidecar.home.suspicion.quarantine.crashes.known.values()
-            for fingerprint in crash.culprits
+            for crash in node.sidecar.home.suspicion.quarantine.crashes.by_name.values()
+            for fingerprint in crash.uncleared_proven
         }
 
-    async def watch_held(self):
-        """Note for how long anything is held back at most."""
+    async def track_longest_hold(self):
+        """Record the longest time for which any request is held back."""
         while True:
             for node in self.nodes.values():
-                held = node.sidecar.home.suspicion.quarantine.held(self.now())
+                held = node.sidecar.home.suspicion.quarantine.held_requests(self.now())
                 self.longest_hold = max(self.longest_hold, *held.values(), 0.0)
             await asyncio.sleep(0.05)
 
-    def expect(self, found, expected):
-        """Note a problem unless two things are equal."""
+    def check_equal(self, found, expected):
+        """Record a problem unless two values are equal."""
         if found != expected:
-            self.problems.append(f"{found} in place of {expected}")
+            self.problems.append(f"{found} instead of {expected}")
 
-    def check_all_know_the_same(self):
+    def check_same_checksum(self):
         known = {
             node.sidecar.home.suspicion.quarantine.crashes.checksum
             for node in self.nodes.values()
         }
         if len(known) > 1:
-            self.problems.append(f"{len(known)} views of what has crashed")
+            self.problems.append(f"{len(known)} different states of the crashes")
 
-    # The whole.
+    # Run and final checks.
 
     async def play(self, scenario):
         self.start()
         await asyncio.sleep(5.0)
         await scenario(self)
-        self.judge()
+        self.check_final_state()
         for node in self.nodes.values():
             if node.up:
                 node.kill()
         await asyncio.sleep(0.1)
 
-    def judge(self):
+    def check_final_state(self):
         for target in self.crashing:
             crashes = self.crashes[target]
             if len(crashes) < 3:
                 continue
-            known = crashes[2] + KNOWN_WITHIN
-            more = sum(when > known for when in self.runs[target])
-            if more > RUNS_MORE:
+            known = crashes[2] + DETECTION_SECONDS
+            later_runs = sum(when > known for when in self.runs[target])
+            if later_runs > MAX_LATER_RUNS:
                 self.problems.append(
-                    f"{target}: ran {more} times after {len(crashes)} crashes"
+                    f"{target}: ran {later_runs} times after {len(crashes)} crashes"
                 )
 
-    def share_of_reads(self, since, until):
-        """Return the share of the ordinary reads of some seconds that were served."""
+    def served_read_ratio(self, since, until):
+        """Return which share of the ordinary reads of a time span was served."""
         served = [ok for begun, ok in self.served if since <= begun < until]
         return sum(served) / len(served)
--- a/sequoiaspoke/tests/evacuationsim.py
+++ b/sequoiaspoke/tests/evacuationsim.py
@@ -1,15 +1,21 @@
-"""Worlds of `spreadsim` in which zones are evacuated and taken back."""
+"""Worlds of `spreadsim` with evacuations of zones."""
 
 import asyncio
 import random
 
-from sequoiaspoke.tests.spreadsim import CALM_SECONDS, EVACUATE, ZONES, SpreadWorld
+from sequoiaspoke.tests.spreadsim import (
+    EVACUATION_PREFIX,
+    FAULT_FREE_SECONDS,
+    ZONES,
+    SpreadWorld,
+)
 
 
 class EvacuationWorld(SpreadWorld):
-    """A world in which zones are evacuated and taken back as well.
+    """A world with random evacuations.
 
-    They are drawn apart, so that all else is as in the world without.
+    They have a random generator of their own, so that everything else is as in the
+    world without them.
     """
 
     def __init__(self, seed):
@@ -27,66 +33,66 @@
             if self.store.mode != "up":
                 continue
             zone = self.evacuation_rng.choice(ZONES)
-            begins = EVACUATE + zone not in self.store.items
-            self.store.put(EVACUATE + zone, b"{}" if begins else None)
+            begins = EVACUATION_PREFIX + zone not in self.store.items
+            self.store.put(EVACUATION_PREFIX + zone, b"{}" if begins else None)
             check = self.is_evacuated(zone, self.store.revision, begins)
-            tasks.append(asyncio.ensure_future(self.acted_on(check)))
+            tasks.append(asyncio.ensure_future(self.check_applied(check)))
         await asyncio.gather(*tasks)
 
     def is_evacuated(self, zone, revision, expected):
-        """Return how to see a change, unless another has followed it."""
+        """Return a check of a node's state, which passes after a later change."""
 
         def check(state):
             later = [
                 item
                 for item in self.store.events
-                if item.key == EVACUATE + zone and item.revision > revision
+                if item.key == EVACUATION_PREFIX + zone and item.revision > revision
             ]
-            forgotten = self.store.forgotten > revision
-            known = zone in state.directory.grouping.closed_zones
-            return bool(later) or forgotten or known == expected
+            compacted = self.store.compacted_revision > revision
+            known = zone in state.directory.grouping.excluded_zones
+            return bool(later) or compacted or known == expected
 
         return check
 
 
-class OrderedWorld(SpreadWorld):
-    """A world in which only what a test orders happens."""
+class ScriptedWorld(SpreadWorld):
+    """A world without random changes and faults, driven by a test's script."""
 
-    def __init__(self, seed, orders):
+    def __init__(self, seed, script):
         super().__init__(seed)
-        self.orders = orders
+        self.script = script
         self.checks = []
 
     async def changes(self, seconds):
-        await self.orders(self)
+        await self.script(self)
         await asyncio.gather(*self.checks)
         self.checks.clear()
 
     async def faults(self, seconds):
         pass
 
-    def empty(self, zone):
+    def evacuate(self, zone):
         self.write(zone, b"{}", True)
 
-    def take_back(self, zone):
+    def end_evacuation(self, zone):
         self.write(zone, None, False)
 
     def write(self, zone, value, expected):
-        """Write or delete an order and check that every calm node acts on it."""
-        self.store.put(EVACUATE + zone, value)
+        """Write or delete an order; check that every node without faults acts on it."""
+        self.store.put(EVACUATION_PREFIX + zone, value)
 
         def check(state):
-            newest = self.store.items.get(EVACUATE + zone)
+            newest = self.store.items.get(EVACUATION_PREFIX + zone)
             changed = (newest is not None) != expected
             return (
-                changed or (zone in state.directory.grouping.closed_zones) == expected
+                changed or (zone in state.directory.grouping.excluded_zones) == expected
             )
 
-        self.checks.append(asyncio.ensure_future(self.acted_on(check)))
+        self.checks.append(asyncio.ensure_future(self.check_applied(check)))
 
     def readers(self, zone):
         nodes = [node for node in self.nodes.values() if node.zone == zone]
         return sorted({host for node in nodes for host in node.sidecar.duty.readers})
 
-    async def rest(self):
-        await asyncio.sleep(CALM_SECONDS + 1.0)
+    async def settle(self):
+        await asyncio.sleep(FAULT_FREE_SECONDS + 1.0)
--- a/sequoiaspoke/tests/spreadsim.py
+++ b/sequoiaspoke/tests/spreadsim.py
@@ -1,7 +1,7 @@
-"""Sidecars that follow a store on a virtual clock, with faults drawn from a seed.
+"""Simulation of sidecars that follow a store, with random faults.
 
-Sidecars are put together as the program does it; the store, the connections between
-nodes and the loop's clock are played. One seed gives one history.
+The sidecars are assembled as in the program; the store, the connections between nodes
+and the clock of the event loop are simulated. A run is determined by its seed.
 """
 
 import asyncio
@@ -29,27 +29,28 @@
 from sequoiaspoke.tests.meshsim import SimDialer, play_world
 
 ZONES = ("akaki", "bole")
-EVACUATE = "evacuate/"
-NODES_A_ZONE = 4
-# Within so many seconds a node acts on a change, if it and the store were calm from so
-# many seconds before on.
-ACT_SECONDS, CALM_SECONDS = 2.0, 3.0
-# Changes that a history checks at least; one in which faults follow closely goes on.
-LEAST_CHECKED = 10
-# Seconds after which a read, and a wait beyond its own length, are given up.
+EVACUATION_PREFIX = "evacuate/"
+NODES_PER_ZONE = 4
+# Seconds within which a node has to act on a change, and seconds before the change from
+# on which the node and the store must have had no fault for the check to count.
+ACT_SECONDS, FAULT_FREE_SECONDS = 2.0, 3.0
+# Checks that a run needs at least; a run with too many faults to check is prolonged.
+MIN_CHECKS = 10
+# Timeouts of a read, of a wait for changes beyond its length, which is the same, and of
+# a confirmation, in seconds.
 READ_SECONDS, WAIT_SECONDS, CONFIRM_SECONDS = 1.5, 10.0, 0.6
 
 
 class Items(ItemDecoder):
-    """An endpoint's value is whether it drains, a configuration's its routes."""
+    """Decodes items: an endpoint's drain flag and a configuration's route names."""
 
     def kind(self, key):
-        if key.startswith(EVACUATE):
+        if key.startswith(EVACUATION_PREFIX):
             return self.EVACUATION
         return self.CONFIG if key == "config" else self.ENDPOINT
 
     def evacuated_zone(self, key):
-        return key.removeprefix(EVACUATE)
+        return key.removeprefix(EVACUATION_PREFIX)
 
     def check_evacuation(self, key, value):
         if value != b"{}":
@@ -78,10 +79,10 @@
         self.items = {}
         self.events = []
         self.revision = 1
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.mode = "up"
-        self.deaf = False
-        self.losses = 0
+        self.waits_stalled = False
+        self.dropped_waits = 0
         self.changed = asyncio.Event()
 
     def put(self, key, value):
@@ -96,10 +97,14 @@
         self.changed = asyncio.Event()
 
     def evacuations(self):
-        return [item for key, item in self.items.items() if key.startswith(EVACUATE)]
+        return [
+            item
+            for key, item in self.items.items()
+            if key.startswith(EVACUATION_PREFIX)
+        ]
 
     def since(self, after):
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             raise HistoryLostError("forgotten")
         return tuple(item for item in self.events if item.revision > after)
 
@@ -111,7 +116,7 @@
         self.world, self.host = world, host
 
     async def reach(self, seconds):
-        """Wait as a call over the network does; raise StoreError without an answer."""
+        """Simulate the network; raise StoreError if the store does not answer."""
         await asyncio.sleep(self.world.delay())
         store = self.world.store
         if store.mode == "failing":
@@ -130,17 +135,17 @@
         store = self.world.store
         loop = asyncio.get_running_loop()
         end = loop.time() + WAIT_SECONDS
-        losses = store.losses
-        while store.deaf or (not store.since(after) and loop.time() < end):
+        dropped_waits = store.dropped_waits
+        while store.waits_stalled or (not store.since(after) and loop.time() < end):
             try:
                 await asyncio.wait_for(store.changed.wait(), end - loop.time())
             except TimeoutError:
                 break
-            if losses != store.losses:
-                # Cut without a word.
+            if dropped_waits != store.dropped_waits:
+                # The connection was dropped without a reset.
                 await asyncio.sleep(WAIT_SECONDS)
                 raise StoreError("no answer in time")
-            if store.deaf:
+            if store.waits_stalled:
                 await asyncio.sleep(0.1)
         await self.reach(READ_SECONDS)
         return Changes(store.since(after), store.revision)
@@ -149,8 +154,8 @@
         await self.reach(READ_SECONDS)
         store = self.world.store
         newest = {item.key: item for item in store.since(after)}
-        standing = store.evacuations()
-        return Changes((*newest.values(), *standing), store.revision, True)
+        evacuations = store.evacuations()
+        return Changes((*newest.values(), *evacuations), store.revision, True)
 
     async def endpoints_since(self, after):
         await self.reach(READ_SECONDS)
@@ -159,7 +164,7 @@
         items = (
             item
             for item in newest.values()
-            if item.key != "config" and not item.key.startswith(EVACUATE)
+            if item.key != "config" and not item.key.startswith(EVACUATION_PREFIX)
         )
         return Changes(tuple(items), store.revision)
 
@@ -178,7 +183,7 @@
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
-        # In order, so that one seed gives one history.
+        # A dict keeps its order, so that runs of one seed are equal.
         self.tasks = {}
         self.start()
 
@@ -194,7 +199,7 @@
         self.server = self.sidecar.links
         self.sidecar.log.allowed = lambda kind: False
         self.sidecar.peers.dialer = SimDialer(world, self.host)
-        self.up, self.since = True, world.now()
+        self.up, self.started_at = True, world.now()
         self.versions = []
         self.spawn(self.sidecar.follower.run())
         self.spawn(self.tick())
@@ -211,7 +216,7 @@
             self.versions.append(self.sidecar.state.version)
 
     def kill(self):
-        """End as a killed process does: nothing is said, connections reset."""
+        """End like a killed process: send nothing, reset the connections."""
         self.up = False
         for link in list(self.server.links):
             link.stream.close()
@@ -222,7 +227,7 @@
 
 
 class SpreadWorld:
-    """A store, the nodes that follow it, faults, and what was promised."""
+    """A store and the nodes that follow it, with changes, faults and checks."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -231,7 +236,7 @@
         self.cuts = set()
         self.cut_from_store = set()
         self.nodes = {}
-        self.harm = {"store": float("-inf")}
+        self.last_fault_at = {"store": float("-inf")}
         self.problems = []
         self.checked = 0
         self.version = 0
@@ -240,7 +245,7 @@
     def start(self):
         self.publish()
         for zone in ZONES:
-            for number in range(NODES_A_ZONE):
+            for number in range(NODES_PER_ZONE):
                 host = f"{zone}-{number}"
                 self.store.put(f"{zone}/{host}/1", b"0")
                 self.nodes[host] = SpreadNode(self, host, zone)
@@ -254,9 +259,9 @@
     def is_cut(self, one, other):
         return (one, other) in self.cuts or (other, one) in self.cuts
 
-    def hurt(self, name):
-        """Note that a node or the store is not calm at this moment."""
-        self.harm[name] = self.now()
+    def note_fault(self, name):
+        """Record that a node or the store has a fault now."""
+        self.last_fault_at[name] = self.now()
 
     # Changes.
 
@@ -267,30 +272,30 @@
         text = ",".join([str(self.version), *self.routes])
         self.store.put("config", text.encode())
 
-    def leave_or_join(self):
-        """Let an upstream drain, leave or start anew; return how to see it."""
+    def change_endpoint(self):
+        """Let an upstream drain, depart or start; return a check of a node's state."""
         host = self.rng.choice(list(self.nodes))
         zone = host.split("-")[0]
         here = [key for key in self.store.items if key.startswith(f"{zone}/{host}/")]
         if not here:
             key = f"{zone}/{host}/{self.rng.randrange(10**6)}"
             self.store.put(key, b"0")
-            # It may have left again by the time of the check. Where the store dropped
-            # its history meanwhile, a node that read all anew never heard of it.
+            # It may have departed again by the time of the check. If the store dropped
+            # its history meanwhile, a node that read the whole store never saw it.
             return lambda state: (
-                key in state.directory.held
-                or state.directory.left(Incarnation(key))
+                key in state.directory.records
+                or state.directory.is_leaving(Incarnation(key))
                 or key not in self.store.items
             )
         if self.store.items[here[0]].value == b"0" and self.rng.random() < 0.5:
             self.store.put(here[0], b"1")
         else:
             self.store.put(here[0], None)
-        # One that joined and left while the store dropped its history is not known as
-        # gone at a node that read all anew; it is not held there and gets no calls.
+        # A node that read the whole store after its history was dropped knows nothing
+        # of an endpoint that joined and departed meanwhile; it has no record of it.
         return lambda state: (
-            state.directory.left(Incarnation(here[0]))
-            or here[0] not in state.directory.held
+            state.directory.is_leaving(Incarnation(here[0]))
+            or here[0] not in state.directory.records
         )
 
     async def changes(self, seconds):
@@ -305,26 +310,33 @@
                 wanted = self.version
                 check = self.has_version(wanted)
             else:
-                check = self.leave_or_join()
-            tasks.append(asyncio.ensure_future(self.acted_on(check)))
+                check = self.change_endpoint()
+            tasks.append(asyncio.ensure_future(self.check_applied(check)))
         await asyncio.gather(*tasks)
 
-    def has_version(self, wanted):
-        return lambda state: state.version >= wanted
+    def has_version(self, expected):
+        return lambda state: state.version >= expected
 
-    async def acted_on(self, check):
-        """Check that every calm node acts on a change in time."""
-        made = self.now()
+    async def check_applied(self, check):
+        """Check that every node without faults acts on a change in time."""
+        changed_at = self.now()
         await asyncio.sleep(ACT_SECONDS)
         for host, node in self.nodes.items():
-            calm = made - CALM_SECONDS
-            if not node.up or node.since > calm or self.harm["store"] > calm:
+            fault_free_since = changed_at - FAULT_FREE_SECONDS
+            if (
+                not node.up
+                or node.started_at > fault_free_since
+                or self.last_fault_at["store"] > fault_free_since
+            ):
                 continue
-            if host in self.cut_from_store or self.harm.get(host, 0.0) > calm:
+            if (
+                host in self.cut_from_store
+                or self.last_fault_at.get(host, 0.0) > fault_free_since
+            ):
                 continue
             self.checked += 1
             if not check(node.sidecar.state):
-                self.problems.append(f"{host}: change of {made:.2f} not acted on")
+                self.problems.append(f"{host}: change of {changed_at:.2f} not acted on")
 
     # Faults.
 
@@ -332,7 +344,8 @@
         end = self.now() + seconds
         choices = (
             self.kill, self.kill_readers, self.cut_store, self.cut_store,
-            self.cut_node, self.silence, self.outage, self.forget, self.compact,
+            self.cut_node, self.stall_links, self.outage, self.drop_history,
+            self.compact,
         )  # fmt: skip
         tasks = []
         while self.now() < end:
@@ -363,16 +376,16 @@
             node.start()
 
     async def cut_store(self):
-        """Cut some nodes off from the store, without a word."""
+        """Cut some nodes off from the store without resetting connections."""
         hosts = self.rng.sample(list(self.nodes), self.rng.choice((1, 2, 4)))
         hosts = [host for host in hosts if host not in self.cut_from_store]
         self.cut_from_store.update(hosts)
         for host in hosts:
-            self.hurt(host)
+            self.note_fault(host)
         await asyncio.sleep(self.rng.uniform(0.5, 8.0))
         self.cut_from_store.difference_update(hosts)
         for host in hosts:
-            self.hurt(host)
+            self.note_fault(host)
 
     async def cut_node(self):
         """Cut a node off from all other nodes; it still reaches the store."""
@@ -383,56 +396,56 @@
         await asyncio.sleep(self.rng.uniform(0.5, 8.0))
         self.cuts -= pairs
 
-    async def silence(self):
-        """Let a few links lie dead without a word; for the rules a reset of all."""
+    async def stall_links(self):
+        """Let a few links drop all data silently; counts as a fault of every node."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
         for host in self.nodes:
-            self.hurt(host)
+            self.note_fault(host)
 
     async def outage(self):
         if self.store.mode != "up":
             return
         self.store.mode = self.rng.choice(("failing", "silent"))
-        self.hurt("store")
+        self.note_fault("store")
         await asyncio.sleep(self.rng.uniform(0.3, 6.0))
         self.store.mode = "up"
-        self.hurt("store")
+        self.note_fault("store")
 
     async def compact(self):
-        """Let waits hear nothing for a second, drop the history and cut them."""
-        if self.store.deaf:
+        """Stall waits for a second, drop the history and drop the waits silently."""
+        if self.store.waits_stalled:
             return
-        self.store.deaf = True
+        self.store.waits_stalled = True
         await asyncio.sleep(1.0)
-        await self.forget()
-        self.store.losses += 1
-        self.store.deaf = False
+        await self.drop_history()
+        self.store.dropped_waits += 1
+        self.store.waits_stalled = False
 
-    async def forget(self):
-        self.store.forgotten = self.store.revision
+    async def drop_history(self):
+        self.store.compacted_revision = self.store.revision
         self.store.events.clear()
 
-    # The whole.
+    # Run and final checks.
 
     async def play(self, seconds=40.0):
         self.start()
         await asyncio.sleep(5.0)
         await asyncio.gather(self.changes(seconds), self.faults(seconds))
-        while self.checked <= LEAST_CHECKED:
-            await self.changes(CALM_SECONDS)
+        while self.checked <= MIN_CHECKS:
+            await self.changes(FAULT_FREE_SECONDS)
         await asyncio.sleep(15.0)
-        self.judge()
+        self.check_final_state()
         for node in self.nodes.values():
             node.kill()
-        # Tasks that were cancelled end in a few turns of the loop.
+        # Cancelled tasks end within a few iterations of the loop.
         await asyncio.sleep(0.1)
 
-    def judge(self):
+    def check_final_state(self):
         evacuated = {item.key for item in self.store.evacuations()}
         expected = set(self.store.items) - {"config"} - evacuated
-        zones = {key.removeprefix(EVACUATE) for key in evacuated}
+        zones = {key.removeprefix(EVACUATION_PREFIX) for key in evacuated}
         for host, node in self.nodes.items():
             if node.versions != sorted(node.versions):
                 self.problems.append(f"{host}: went back to an older version")
@@ -443,12 +456,12 @@
                 self.routes
             ):
                 self.problems.append(f"{host}: ended with other routes")
-            if set(state.directory.held) != expected:
+            if set(state.directory.records) != expected:
                 self.problems.append(f"{host}: ended with other endpoints")
-            if state.directory.grouping.closed_zones != zones:
+            if state.directory.grouping.excluded_zones != zones:
                 self.problems.append(f"{host}: ended with other evacuations")
 
 
-def play(seed, case, world=SpreadWorld, **options):
-    """Play a seed and return the world."""
+def simulate(seed, case, world=SpreadWorld, **options):
+    """Run a seed and return the world."""
     return play_world(lambda: world(seed), case, **options)
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
-from sequoiaspoke.core.mesh.reading import CONFIRM_SECONDS, ReadingDuty
+from sequoiaspoke.core.mesh.reading import CONFIRM_INTERVAL, ReadingDuty
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.errors import MessageError
 from sequoiaspoke.sidecar import clock, spread
@@ -107,7 +107,7 @@
         return stream
 
     def knows(self):
-        held = self.state.directory.held
+        held = self.state.directory.records
         return self.state.version, {name: held[name].endpoint.slots for name in held}
 
 
@@ -138,7 +138,7 @@
         self.time += 0.9
         self.reader.state.confirmed_as_of(self.time)
         self.assertEqual(len(stream.frames), 2)
-        self.assertEqual(self.other.duty.confirmed, self.time)
+        self.assertEqual(self.other.duty.confirmed_at, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
     def test_a_whole_list_is_one_line_that_is_the_same_at_every_node(self):
@@ -361,12 +361,12 @@
             self.reader.state.confirmed_as_of(self.time)
         self.time += 0.5
         self.other.state.take_changes(Changes((StoreItem("i-1", None, 30),), 30))
-        self.assertNotIn("i-1", self.other.state.directory.held)
+        self.assertNotIn("i-1", self.other.state.directory.records)
 
     def test_how_long_an_upstream_stays_cold_is_told(self):
         self.time += 2.0
         self.other.follow(self.reader)
-        cold = self.other.state.directory.cold
+        cold = self.other.state.directory.is_cold
         self.assertTrue(cold("i-1", self.time + 0.4))
         self.assertFalse(cold("i-1", self.time + 0.6))
 
@@ -431,7 +431,7 @@
     def test_a_store_without_news_confirms(self):
         async def scenario(node, store):
             await self.until_true(lambda: store.confirmed >= 2)
-            self.assertTrue(node.state.age(clock.now()) < CONFIRM_SECONDS + 5.0)
+            self.assertTrue(node.state.age(clock.now()) < CONFIRM_INTERVAL + 5.0)
             self.assertEqual(store.waits, 1)
 
         self.run_scenario(scenario)
@@ -461,10 +461,10 @@
     def test_a_node_whose_readers_confirm_does_not_read(self):
         async def scenario(node, store):
             await self.until_true(lambda: node.state.complete)
-            node.duty.take_hosts(["10.0.0.8", "10.0.0.9"])
-            node.duty.heard(clock.now() + 3600)
+            node.duty.set_hosts(["10.0.0.8", "10.0.0.9"])
+            node.duty.confirm(clock.now() + 3600)
             before = store.confirmed
-            await asyncio.sleep(3 * CONFIRM_SECONDS)
+            await asyncio.sleep(3 * CONFIRM_INTERVAL)
             self.assertTrue(store.confirmed <= before + 1)
 
         self.run_scenario(scenario)
