--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -11,7 +11,7 @@
 from sequoiaspoke.errors import SettingsError
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.callerserver import CallerServer
-from sequoiaspoke.sidecar.crashnews import CrashNews
+from sequoiaspoke.sidecar.crashgossip import CrashGossip
 from sequoiaspoke.sidecar.entry import Entry
 from sequoiaspoke.sidecar.follower import Follower
 from sequoiaspoke.sidecar.frames import TcpDialer
@@ -37,20 +37,20 @@
 # Seconds between two looks at what is overdue, and while no call is under way. Half a
 # second is allowed for a final answer after its time. A node of a large fleet is idle
 # for most of the time, and a look that finds nothing costs a tenth of a call.
-TICK_SECONDS, REST_SECONDS = 0.1, 0.3
+TICK_SECONDS, IDLE_TICK_SECONDS = 0.1, 0.3
 # Seconds between two looks at the callers' connections: they idle and take their time
 # over a head for seconds, and there may be hundreds.
-CALLERS_SECONDS = 0.5
+CALLERS_TICK_SECONDS = 0.5
 # A look that comes this much too late means that the VM stood still.
 PAUSE_SECONDS = 1.0
 # Part of the time in which a version has to be in force after which a node that was not
 # confirmed denies no route.
-DENY_PART = 0.75
+DENY_FRACTION = 0.75
 # Seconds for which a stopping node serves on although nobody waits: callers are moved
 # away after two questions a second apart have found it not ready.
 LINGER_SECONDS = 2.6
 # Seconds before its end by which a stopping node's calls should have their answers.
-LAST_SECONDS = 0.2
+ANSWER_MARGIN_SECONDS = 0.2
 
 
 class Sidecar:
@@ -69,8 +69,8 @@
         self.reload = reload
         self.log = EventLog(settings.names.call_id)
         self.incarnation = rng.getrandbits(62)
-        self.state = MeshState(decoder, self.log, self.state_changed)
-        self.state.deny_after = DENY_PART * settings.act_within
+        self.state = MeshState(decoder, self.log, self.on_state_change)
+        self.state.deny_after = DENY_FRACTION * settings.act_within
         host, port = settings.upstream
         self.upstream = Upstream(host, port, settings.names)
         self.home = Home(self.upstream, self.state.directory, self.log)
@@ -92,15 +92,15 @@
             self.log,
             TcpDialer(),
         )
-        self.crash_news = CrashNews(
-            self.home.suspicion.quarantine,
-            self.home.suspicion.learn,
+        self.crash_gossip = CrashGossip(
+            self.home.crash_guard.quarantine,
+            self.home.crash_guard.record_reports,
             self.spread,
             self.peers,
             self.duty,
         )
-        self.home.suspicion.on_news = self.crash_news.tell
-        self.spread.crash_news = self.crash_news
+        self.home.crash_guard.on_reports = self.crash_gossip.broadcast
+        self.spread.crash_gossip = self.crash_gossip
         self.entry = Entry(
             settings.service,
             settings.regions,
@@ -112,28 +112,28 @@
             rng,
             self.log,
         )
-        self.callers = CallerServer(self.entry.handle, self.crashed, host)
+        self.callers = CallerServer(self.entry.handle, self.log_unexpected_error, host)
         self.links = LinkServer(self.home, self.spread, self.incarnation, self.log)
         self.metrics = SidecarMetrics(self, output)
         pages = HealthPages(
             settings.health_path,
-            self.not_ready,
+            self.unready_reason,
             self.metrics.page,
             self.status,
-            self.home.suspicion.release,
+            self.home.crash_guard.release,
         )
-        self.health = CallerServer(pages.handle, self.crashed)
+        self.health = CallerServer(pages.handle, self.log_unexpected_error)
         self.follower = Follower(store, self.state, self.duty, rng)
         self.stopping: float | None = None
         self.stopped = asyncio.Event()
-        self.ticked = clock.now()
+        self.ticked_at = clock.now()
         self.loop_delay = 0.0
-        self.tick_pause = 0.0
-        self.callers_looked_at = 0.0
-        self.acted_on = (0, 0, 0, 0)
+        self.tick_interval = 0.0
+        self.callers_ticked_at = 0.0
+        self.applied_state = (0, 0, 0, 0)
         self.readers_logged: tuple[str, ...] = ()
 
-    def crashed(self, error: BaseException) -> None:
+    def log_unexpected_error(self, error: BaseException) -> None:
         """Log an error that no code expected."""
         self.log.event("crash", error=repr(error))
 
@@ -143,53 +143,53 @@
 
         return status_page(self)
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why this node takes no callers, empty if it does."""
         if self.stopping is not None:
             return "stopping"
         return "" if self.state.complete else "uninformed"
 
-    def state_changed(self) -> None:
+    def on_state_change(self) -> None:
         """Follow a change of what is known of the platform, or its confirmation."""
         state = self.state
-        known = (
+        current = (
             state.directory.serial,
             state.version,
             self.duty.rates_learnt,
             state.evacuations.serial,
         )
-        if known != self.acted_on:
-            self.acted_on = known
-            self.act_on_change()
+        if current != self.applied_state:
+            self.applied_state = current
+            self.apply_change()
         self.spread.publish()
 
-    def act_on_change(self) -> None:
+    def apply_change(self) -> None:
         """Follow a change of what is known of the platform."""
         if self.state.table is not None:
             self.callers.current_limits = self.state.table.config.limits
             service = self.state.table.config.services.get(self.settings.service)
             if service is not None:
-                self.home.cold_watch.take_service(service, self.settings.cold)
-        own = self.state.directory.at(*self.settings.upstream)
-        if own is not None:
-            self.home.take_endpoint(own)
+                self.home.cold_monitor.set_service(service, self.settings.cold)
+        endpoint = self.state.directory.at(*self.settings.upstream)
+        if endpoint is not None:
+            self.home.update_endpoint(endpoint)
         zone = self.settings.zone
         evacuations = self.state.evacuations
-        self.home.evacuate(zone in evacuations.zones, evacuations.ended_at(zone))
-        near = [each for each in self.state.members() if each.zone == zone]
+        self.home.set_evacuated(zone in evacuations.zones, evacuations.ended_at(zone))
+        zone_members = [each for each in self.state.members() if each.zone == zone]
         self.duty.take_hosts(
-            (each.host for each in near if not each.draining),
-            (each.host for each in near if each.draining),
+            (each.host for each in zone_members if not each.draining),
+            (each.host for each in zone_members if each.draining),
         )
         if self.duty.readers != self.readers_logged:
             self.readers_logged = self.duty.readers
             self.log.event("readers", hosts=",".join(self.duty.readers))
         self.spread.follow_readers(self.peers)
         self.peers.refresh()
-        starts = (
+        incarnations = (
             held.endpoint.incarnation for held in self.state.directory.held.values()
         )
-        self.entry.attempts.placing.retain(starts)
+        self.entry.attempts.placing.retain(incarnations)
 
     def listen(self) -> None:
         """Open the addresses of the settings."""
@@ -206,7 +206,7 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
-        loop.add_signal_handler(signal.SIGHUP, self.take_settings)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         self.listen()
         self.log.event(
             "start",
@@ -220,7 +220,7 @@
         gc.enable()
         follower = asyncio.ensure_future(self.follower.run())
         follower.add_done_callback(self.follower_ended)
-        self.tick_and_go_on()
+        self.run_ticks()
         await self.stopped.wait()
         follower.cancel()
         self.log.event("end", node=self.settings.node)
@@ -230,19 +230,21 @@
         if not task.cancelled() and task.exception() is not None:
             self.log.event("crash", error=repr(task.exception()))
 
-    def tick_and_go_on(self) -> None:
+    def run_ticks(self) -> None:
         """Look at everything that time changes, again and again."""
         try:
             self.tick()
         except Exception as error:
             # One part's fault must not end the calls of all others.
-            self.crashed(error)
+            self.log_unexpected_error(error)
         if not self.stopped.is_set():
-            pause = self.tick_pause = REST_SECONDS if self.at_rest else TICK_SECONDS
-            asyncio.get_running_loop().call_later(pause, self.tick_and_go_on)
+            pause = self.tick_interval = (
+                IDLE_TICK_SECONDS if self.idle else TICK_SECONDS
+            )
+            asyncio.get_running_loop().call_later(pause, self.run_ticks)
 
     @property
-    def at_rest(self) -> bool:
+    def idle(self) -> bool:
         """Return whether no call is under way at this node and none of its links."""
         busy = self.home.calls or self.peers.watched or self.stopping is not None
         return not busy
@@ -250,26 +252,26 @@
     def tick(self) -> None:
         """Look at everything that time changes."""
         now = clock.now()
-        if now - self.ticked > PAUSE_SECONDS:
-            self.log.event("pause", seconds=f"{now - self.ticked:.2f}")
+        if now - self.ticked_at > PAUSE_SECONDS:
+            self.log.event("pause", seconds=f"{now - self.ticked_at:.2f}")
             self.entry.woke(now)
             self.upstream.deadlines.woke(now)
             # Whatever was read before may be long out of date.
             self.follower.store.reconnect()
-        self.loop_delay = max(0.0, now - self.ticked - self.tick_pause)
-        self.ticked = now
+        self.loop_delay = max(0.0, now - self.ticked_at - self.tick_interval)
+        self.ticked_at = now
         self.home.tick(now)
         self.state.tick(now)
         self.spread.tick(now)
         self.peers.tick(now)
-        self.crash_news.tick(now)
-        if now - self.callers_looked_at > CALLERS_SECONDS:
-            self.callers_looked_at = now
+        self.crash_gossip.tick(now)
+        if now - self.callers_ticked_at > CALLERS_TICK_SECONDS:
+            self.callers_ticked_at = now
             self.callers.tick(now)
         if self.stopping is not None:
-            self.end_if_idle(now)
+            self.finish_if_idle(now)
 
-    def take_settings(self) -> None:
+    def reload_settings(self) -> None:
         """Read the settings anew."""
         try:
             settings = self.reload()
@@ -293,18 +295,18 @@
             return
         self.stopping = clock.now()
         self.callers.closing = True
-        self.entry.stop_at(self.stopping + self.settings.drain - LAST_SECONDS)
+        self.entry.stop_at(self.stopping + self.settings.drain - ANSWER_MARGIN_SECONDS)
         self.log.event(
             "stop", running=self.home.admission.running, calls=len(self.home.calls)
         )
 
-    def end_if_idle(self, now: float) -> None:
+    def finish_if_idle(self, now: float) -> None:
         """End once nobody waits for anything, or the time allowed is over."""
         assert self.stopping is not None
-        since = now - self.stopping
-        if since > self.settings.leave_after and not self.home.leaving:
+        elapsed = now - self.stopping
+        if elapsed > self.settings.leave_after and not self.home.leaving:
             self.home.leaving = True
             self.links.announce_leaving()
         busy = self.callers.busy() or bool(self.home.calls)
-        if since > self.settings.drain or (since > LINGER_SECONDS and not busy):
+        if elapsed > self.settings.drain or (elapsed > LINGER_SECONDS and not busy):
             self.stopped.set()
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -165,11 +165,11 @@
 
     def suspected(self, progress: Progress) -> bool:
         """Return whether a call's request may have crashed an upstream."""
-        return self.home.suspicion.suspected(progress.service, progress.request)
+        return self.home.crash_guard.suspected(progress.service, progress.request)
 
     def held_seconds(self, progress: Progress) -> float:
         """Return for how much longer a call's request is held back."""
-        return self.home.suspicion.held_seconds(progress.service, progress.request)
+        return self.home.crash_guard.held_seconds(progress.service, progress.request)
 
     def start(self, progress: Progress, endpoint: Endpoint, race: Race) -> None:
         """Begin an attempt."""
@@ -228,7 +228,7 @@
         attempt.call_off = partial(self.home.cancel, key)
 
         def tell(outcome: Outcome) -> None:
-            attempt.take(outcome, self.home.news(call.route, call.rank))
+            attempt.take(outcome, self.home.load_report(call.route, call.rank))
 
         self.home.submit(key, call, tell)
 
@@ -236,7 +236,7 @@
         """Learn from what came of an attempt."""
         start, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
-            self.home.suspicion.learn([outcome.crash])
+            self.home.crash_guard.record_reports([outcome.crash])
         self.placing.end(start)
         self.placing.load(start, attempt.progress.route.name, news, now)
         self.measure(attempt.progress, start, outcome, now)
--- a/sequoiaspoke/sidecar/coldwatch.py
+++ b/sequoiaspoke/sidecar/coldmonitor.py
@@ -22,71 +22,77 @@
     from sequoiaspoke.sidecar.upstream import Upstream
 
 # Seconds for the answer to a question, and between two questions.
-ASK_SECONDS, ASK_PAUSE = 0.5, 0.2
+PROBE_TIMEOUT, PROBE_INTERVAL = 0.5, 0.2
 
 
-class ColdWatch:
+class ColdMonitor:
     """Keeps what is known of how cold one upstream is.
 
     Attributes
     ----------
-    held_back : bool
+    paused : bool
         Whether nothing may be sent to the upstream, health checks included.
-    on_told : callable
+    on_reported : callable
         Called when the upstream has told how cold it is.
     """
 
     def __init__(
         self,
-        state: ColdStart,
+        cold_start: ColdStart,
         upstream: Upstream,
         log: EventLog,
-        on_told: Callable[[], None],
+        on_reported: Callable[[], None],
     ) -> None:
-        self.state = state
+        self.cold_start = cold_start
         self.upstream = upstream
         self.log = log
-        self.on_told = on_told
-        self.held_back = False
+        self.on_reported = on_reported
+        self.paused = False
         self.service: Service | None = None
-        self.asking: asyncio.Task[None] | None = None
-        self.asked = float("-inf")
-        self.entry_revision = 0
+        self.probe_task: asyncio.Task[None] | None = None
+        self.probed_at = float("-inf")
+        self.endpoint_revision = 0
 
-    def take_service(self, service: Service, limits: ColdLimits) -> None:
+    def set_service(self, service: Service, limits: ColdLimits) -> None:
         """Take what the operators say of the service of the upstream."""
         self.service = service
-        self.state.most = limits.most(service.cold_rate)
+        self.cold_start.most = limits.most(service.cold_rate)
 
-    def take_entry(self, held: Held) -> None:
+    def update_from_endpoint(self, held: Held) -> None:
         """Take what the upstream's entry says, once for each report."""
-        if held.revision != self.entry_revision:
-            self.entry_revision = held.revision
-            self.state.published(held.cold_until)
+        if held.revision != self.endpoint_revision:
+            self.endpoint_revision = held.revision
+            self.cold_start.published(held.cold_until)
 
-    def doubt(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take the upstream for cold until it tells whether it is."""
         seconds = self.service.cold_seconds if self.service else 0.0
-        self.state.doubt(now, seconds)
-        self.ask_if_due(now)
+        self.cold_start.doubt(now, seconds)
+        self.probe_if_due(now)
 
-    def ask_if_due(self, now: float) -> None:
+    def probe_if_due(self, now: float) -> None:
         """Ask an upstream that is in doubt; it may be warm and bear all calls."""
-        if self.held_back or self.asking is not None or not self.state.doubted(now):
+        if (
+            self.paused
+            or self.probe_task is not None
+            or not self.cold_start.doubted(now)
+        ):
             return
         path = self.service.health_path if self.service else ""
-        if path and now - self.asked >= ASK_PAUSE:
-            self.asked = now
-            self.asking = asyncio.ensure_future(self.ask(path))
+        if path and now - self.probed_at >= PROBE_INTERVAL:
+            self.probed_at = now
+            self.probe_task = asyncio.ensure_future(self.probe(path))
 
-    async def ask(self, path: str) -> None:
+    async def probe(self, path: str) -> None:
         """Ask the upstream how long it stays cold."""
         try:
-            seconds = await self.upstream.ask_cold(path, clock.now() + ASK_SECONDS)
+            seconds = await self.upstream.query_cold_seconds(
+                path, clock.now() + PROBE_TIMEOUT
+            )
         finally:
-            self.asking = None
+            self.probe_task = None
         if seconds is None:
             return
-        self.state.told(seconds, clock.now())
+        self.cold_start.told(seconds, clock.now())
         self.log.event("upstream-cold", seconds=f"{seconds:.2f}", source="health")
-        self.on_told()
+        self.on_reported()
--- a/sequoiaspoke/sidecar/crashwatch.py
+++ b/sequoiaspoke/sidecar/crashdetector.py
@@ -29,11 +29,11 @@
 # Seconds within which all connections of an upstream that has ended are lost.
 ALL_LOST_SECONDS = 0.05
 # Seconds between two looks at whether they are.
-LOOK_SECONDS = 0.005
+POLL_SECONDS = 0.005
 
 
 @dataclass(frozen=True)
-class Sent:
+class SentCall:
     """A call that was sent to the upstream.
 
     Attributes
@@ -43,16 +43,16 @@
     """
 
     request: Request
-    start: Incarnation
+    incarnation: Incarnation
     suspected: bool
 
 
-class CrashWatch:
+class CrashDetector:
     """Watches the calls at the upstream for its end.
 
     Parameters
     ----------
-    refuses : callable
+    refuses_connections : callable
         Tells whether nobody accepts connections at the upstream.
     service_of : callable
         Returns the service of a start; empty if its end was planned or is not known.
@@ -60,28 +60,28 @@
 
     def __init__(
         self,
-        refuses: Callable[[], Awaitable[bool]],
+        refuses_connections: Callable[[], Awaitable[bool]],
         service_of: Callable[[Incarnation], str],
-        report: Callable[[Crash, list[Sent]], None],
+        on_crash: Callable[[Crash, list[SentCall]], None],
     ) -> None:
-        self.refuses = refuses
+        self.refuses_connections = refuses_connections
         self.service_of = service_of
-        self.report = report
-        self.sent: dict[Hashable, Sent] = {}
+        self.on_crash = on_crash
+        self.sent: dict[Hashable, SentCall] = {}
         # By key, in the order in which they were lost.
         self.lost: dict[Hashable, None] = {}
-        self.check: asyncio.Task[Crash | None] | None = None
+        self.detection: asyncio.Task[Crash | None] | None = None
 
-    def send(self, key: Hashable, sent: Sent) -> None:
+    def call_sent(self, key: Hashable, sent: SentCall) -> None:
         """Note a call that goes out."""
         self.sent[key] = sent
 
-    def end(self, key: Hashable) -> None:
+    def call_ended(self, key: Hashable) -> None:
         """Note that a call is over, unless its loss is looked into."""
         if key not in self.lost:
             self.sent.pop(key, None)
 
-    async def judge(self, key: Hashable, outcome: Outcome) -> Outcome:
+    async def classify(self, key: Hashable, outcome: Outcome) -> Outcome:
         """Return an outcome, as that of a crash if the upstream has ended."""
         broken = isinstance(outcome, Unknown) and outcome.reason in (
             CONNECTION_LOST,
@@ -90,36 +90,38 @@
         if not broken or key not in self.sent:
             return outcome
         self.lost[key] = None
-        if self.check is None:
-            self.check = asyncio.ensure_future(self.find_out())
-        crash = await asyncio.shield(self.check)
+        if self.detection is None:
+            self.detection = asyncio.ensure_future(self.detect())
+        crash = await asyncio.shield(self.detection)
         return outcome if crash is None else Unknown(UPSTREAM_CRASHED, crash)
 
-    async def find_out(self) -> Crash | None:
+    async def detect(self) -> Crash | None:
         """Return the crash that a loss of connections is, if it is one."""
         try:
-            ended = await self.refuses() and await self.all_lost()
-            return self.crash() if ended else None
+            ended = (
+                await self.refuses_connections() and await self.wait_until_all_lost()
+            )
+            return self.report_crash() if ended else None
         finally:
             for key in self.lost:
                 self.sent.pop(key, None)
             self.lost.clear()
-            self.check = None
+            self.detection = None
 
-    async def all_lost(self) -> bool:
+    async def wait_until_all_lost(self) -> bool:
         """Return whether no call goes on at the upstream."""
-        until = clock.now() + ALL_LOST_SECONDS
+        deadline = clock.now() + ALL_LOST_SECONDS
         while self.sent.keys() - self.lost.keys():
-            if clock.now() > until:
+            if clock.now() > deadline:
                 return False
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         return True
 
-    def crash(self) -> Crash | None:
+    def report_crash(self) -> Crash | None:
         """Return the crash that ended the calls that were lost, and report it."""
         calls = [self.sent[key] for key in self.lost]
-        start = calls[-1].start
-        service = self.service_of(start)
+        incarnation = calls[-1].incarnation
+        service = self.service_of(incarnation)
         if not service:
             return None
         suspects: dict[str, bool] = {}
@@ -128,12 +130,12 @@
             suspects[fingerprint] = suspects.get(fingerprint, False) or call.suspected
         now = clock.now()
         crash = Crash(
-            name=f"{start.instance}@{int(now * 1000)}",
-            instance=start.instance,
+            name=f"{incarnation.instance}@{int(now * 1000)}",
+            instance=incarnation.instance,
             service=service,
             at=now,
             suspects=frozenset(suspects),
             proven=blame(suspects),
         )
-        self.report(crash, calls)
+        self.on_crash(crash, calls)
         return crash
--- a/sequoiaspoke/sidecar/crashnews.py
+++ b/sequoiaspoke/sidecar/crashgossip.py
@@ -26,47 +26,47 @@
     from sequoiaspoke.sidecar.spread import Spread
 
 # Nodes of each other zone that are told: one may be dead or cut off.
-TOLD_A_ZONE = 2
+RECEIVERS_PER_ZONE = 2
 # Seconds between two comparisons of what other zones know.
-COMPARE_SECONDS = 1.0
+COMPARE_INTERVAL = 1.0
 
 
-class CrashNews:
+class CrashGossip:
     """What this node tells others of crashes and learns from them.
 
     Parameters
     ----------
-    learn : callable
+    record_reports : callable
         Takes reports of other nodes; returns those that are news.
     """
 
     def __init__(
         self,
         quarantine: Quarantine,
-        learn: Callable[[Iterable[Crash]], list[Crash]],
+        record_reports: Callable[[Iterable[Crash]], list[Crash]],
         spread: Spread,
         peers: Peers,
         duty: ReadingDuty,
     ) -> None:
         self.quarantine = quarantine
-        self.learn = learn
+        self.record_reports = record_reports
         self.spread = spread
         self.peers = peers
         self.duty = duty
-        self.compared = float("-inf")
+        self.compared_at = float("-inf")
 
     # As one who tells.
 
-    def tell(self, crashes: list[Crash], heard: bool = False) -> None:
+    def broadcast(self, crashes: list[Crash], forwarded: bool = False) -> None:
         """Tell what this node has found out, or tell on what it heard."""
         if not crashes:
             return
         frame = Prepared(self.frame(crashes))
-        self.tell_zone(frame)
-        if self.duty.on_duty or not heard:
-            self.tell_zones(frame)
+        self.send_to_zone(frame)
+        if self.duty.on_duty or not forwarded:
+            self.send_to_other_zones(frame)
 
-    def tell_zone(self, frame: Prepared) -> None:
+    def send_to_zone(self, frame: Prepared) -> None:
         """Tell the readers of the zone, and whom this node reads for."""
         for link in self.spread.tellers.values():
             link.send(frame.frame)
@@ -74,13 +74,13 @@
             if not subscriber.frames.closed:
                 subscriber.frames.send_prepared(frame)
 
-    def tell_zones(self, frame: Prepared) -> None:
+    def send_to_other_zones(self, frame: Prepared) -> None:
         """Tell some nodes of each other zone."""
         for hosts in self.other_zones().values():
-            for host in self.drawn(hosts, TOLD_A_ZONE):
+            for host in self.pick_random(hosts, RECEIVERS_PER_ZONE):
                 self.peers.link(host).post(frame.frame)
 
-    def tell_all(self, reply: Callable[[wire.Frame], None]) -> None:
+    def send_all(self, reply: Callable[[wire.Frame], None]) -> None:
         """Tell one node all that is known here, if there is anything."""
         crashes = list(self.quarantine.crashes.known.values())
         if crashes:
@@ -90,12 +90,12 @@
         """Forget what is too long ago, and compare with other zones."""
         self.quarantine.crashes.expire(now)
         idle = not self.quarantine.crashes.known or not self.duty.on_duty
-        if idle or now - self.compared < COMPARE_SECONDS:
+        if idle or now - self.compared_at < COMPARE_INTERVAL:
             return
-        self.compared = now
+        self.compared_at = now
         question = wire.Frame(crashes=wire.Crashes([], self.checksum, compare=True))
         for hosts in self.other_zones().values():
-            for host in self.drawn(hosts, 1):
+            for host in self.pick_random(hosts, 1):
                 self.peers.link(host).post(question)
 
     @property
@@ -111,7 +111,7 @@
                 zones[endpoint.zone].append(endpoint.host)
         return zones
 
-    def drawn(self, hosts: list[str], count: int) -> list[str]:
+    def pick_random(self, hosts: list[str], count: int) -> list[str]:
         """Return some of the nodes at random."""
         distinct = sorted(set(hosts))
         return self.peers.rng.sample(distinct, min(count, len(distinct)))
@@ -121,16 +121,18 @@
     ) -> wire.Frame:
         """Return the frame that tells crashes."""
         now = clock.now()
-        told = [pack_crash(each, now) for each in crashes]
-        return wire.Frame(crashes=wire.Crashes(told, self.checksum, compare, whole))
+        reports = [pack_crash(each, now) for each in crashes]
+        return wire.Frame(crashes=wire.Crashes(reports, self.checksum, compare, whole))
 
     # As one who learns.
 
-    def take(self, message: wire.Crashes, reply: Callable[[wire.Frame], None]) -> None:
+    def receive(
+        self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
+    ) -> None:
         """Take news, or a question whether this node knows the same."""
         now = clock.now()
-        told = [unpack_crash(each, now) for each in message.crashes]
-        self.tell(self.learn(told), heard=True)
+        reports = [unpack_crash(each, now) for each in message.crashes]
+        self.broadcast(self.record_reports(reports), forwarded=True)
         if message.compare and message.checksum != self.checksum:
             # What came whole was an answer; the next word is the last.
             known = self.quarantine.crashes.known.values()
--- a/sequoiaspoke/sidecar/suspicion.py
+++ b/sequoiaspoke/sidecar/crashguard.py
@@ -14,11 +14,11 @@
     from sequoiaspoke.core.mesh.directory import Directory
     from sequoiaspoke.core.mesh.model import Incarnation
     from sequoiaspoke.core.mesh.outcome import Request
-    from sequoiaspoke.sidecar.crashwatch import Sent
+    from sequoiaspoke.sidecar.crashdetector import SentCall
     from sequoiaspoke.sidecar.logs import EventLog
 
 
-def ignore_news(crashes: list[Crash]) -> None:
+def ignore_reports(crashes: list[Crash]) -> None:
     """Do nothing; until somebody tells the news to others."""
 
 
@@ -26,12 +26,12 @@
     """Do nothing; until a home keeps suspects apart."""
 
 
-class Suspicion:
+class CrashGuard:
     """Learns of crashes, clears what is answered and logs both.
 
     Attributes
     ----------
-    on_news : callable
+    on_reports : callable
         Told what this node has found out and others have to know.
     on_change : callable
         Called when other requests are suspected or held back than before.
@@ -41,16 +41,16 @@
         self.directory = directory
         self.log = log
         self.quarantine = Quarantine()
-        self.on_news: Callable[[list[Crash]], None] = ignore_news
+        self.on_reports: Callable[[list[Crash]], None] = ignore_reports
         self.on_change: Callable[[], None] = ignore_change
 
-    def service_of(self, start: Incarnation) -> str:
+    def service_of(self, incarnation: Incarnation) -> str:
         """Return the service of an upstream, empty if it leaves or is not known.
 
         One that leaves by plan ends with what still runs there; no request is to blame.
         """
-        held = self.directory.held.get(start.instance)
-        if held is None or self.directory.left(start):
+        held = self.directory.held.get(incarnation.instance)
+        if held is None or self.directory.left(incarnation):
             return ""
         return held.endpoint.service
 
@@ -60,11 +60,11 @@
             return False
         return self.quarantine.suspected(service, request.fingerprint)
 
-    def suspected_at(self, start: Incarnation, request: Request) -> bool:
+    def suspected_at(self, incarnation: Incarnation, request: Request) -> bool:
         """Return the same for a request that was sent to an upstream."""
         if self.quarantine.empty:
             return False
-        return self.suspected(self.service_of(start), request)
+        return self.suspected(self.service_of(incarnation), request)
 
     def held_seconds(self, service: str, request: Request) -> float:
         """Return for how much longer a request is held back, 0 if it may run."""
@@ -73,23 +73,23 @@
         now = clock.now()
         return self.quarantine.held_seconds(service, request.fingerprint, now)
 
-    def held_seconds_at(self, start: Incarnation, request: Request) -> float:
+    def held_seconds_at(self, incarnation: Incarnation, request: Request) -> float:
         """Return the same for a request that was sent to an upstream."""
         if self.quarantine.empty:
             return 0.0
-        return self.held_seconds(self.service_of(start), request)
+        return self.held_seconds(self.service_of(incarnation), request)
 
-    def learn(self, crashes: Iterable[Crash]) -> list[Crash]:
+    def record_reports(self, crashes: Iterable[Crash]) -> list[Crash]:
         """Take reports of crashes; return those that are news."""
         now = clock.now()
-        taken = [self.quarantine.take(crash, now) for crash in crashes]
-        news = [crash for crash in taken if crash is not None]
-        if news:
-            self.log_held(news)
+        merged = [self.quarantine.take(crash, now) for crash in crashes]
+        changed = [crash for crash in merged if crash is not None]
+        if changed:
+            self.log_quarantined(changed)
             self.on_change()
-        return news
+        return changed
 
-    def report(self, crash: Crash, calls: list[Sent]) -> None:
+    def report(self, crash: Crash, calls: list[SentCall]) -> None:
         """Take a crash of the upstream beside this node."""
         self.log.event(
             "upstream-crashed",
@@ -107,17 +107,17 @@
                 instance=crash.instance,
                 before=call.suspected,
             )
-        self.on_news(self.learn([crash]))
+        self.on_reports(self.record_reports([crash]))
 
-    def answered(self, start: Incarnation, request: Request) -> None:
+    def answered(self, incarnation: Incarnation, request: Request) -> None:
         """Clear a request that an upstream has answered."""
-        if not self.suspected_at(start, request):
+        if not self.suspected_at(incarnation, request):
             return
-        service = self.service_of(start)
+        service = self.service_of(incarnation)
         cleared = self.quarantine.answered(service, request.fingerprint)
         self.log.request("call-cleared", request, crashes=len(cleared))
         self.on_change()
-        self.on_news(cleared)
+        self.on_reports(cleared)
 
     def release(self, fingerprint: str) -> bool:
         """Let go of a request at all nodes; return whether it was suspected."""
@@ -128,13 +128,13 @@
             "request-released", fingerprint=fingerprint, crashes=len(released)
         )
         self.on_change()
-        self.on_news(released)
+        self.on_reports(released)
         return True
 
-    def log_held(self, news: list[Crash]) -> None:
+    def log_quarantined(self, changed: list[Crash]) -> None:
         """Log which requests are held back from now on."""
         now = clock.now()
-        for crash in news:
+        for crash in changed:
             for fingerprint in sorted(crash.culprits):
                 known = self.quarantine.crashes.of(crash.service, fingerprint)
                 seconds = self.quarantine.held_seconds(crash.service, fingerprint, now)
--- a/sequoiaspoke/sidecar/healthserver.py
+++ b/sequoiaspoke/sidecar/healthserver.py
@@ -22,13 +22,13 @@
     def __init__(
         self,
         path: str,
-        ready: Callable[[], str],
+        unready_reason: Callable[[], str],
         metrics: Callable[[], bytes],
         status: Callable[[], bytes],
         release: Callable[[str], bool],
     ) -> None:
         self.path = path
-        self.ready = ready
+        self.unready_reason = unready_reason
         self.metrics = metrics
         self.status = status
         self.release = release
@@ -42,15 +42,15 @@
         if path == "/status":
             return Answer(200, (("Content-Type", "application/json"),), self.status())
         if path.startswith(RELEASE_PATH):
-            return self.release_held(request, path.removeprefix(RELEASE_PATH))
+            return self.release_request(request, path.removeprefix(RELEASE_PATH))
         if path != self.path:
             return own_answer(404, "no such page")
-        reason = self.ready()
+        reason = self.unready_reason()
         if reason:
             return own_answer(503, reason, retry_after=0.5)
         return own_answer(200, "ready")
 
-    def release_held(self, request: Request, fingerprint: str) -> Answer:
+    def release_request(self, request: Request, fingerprint: str) -> Answer:
         """Let go of a request that is suspected or held back."""
         if request.method != "POST":
             return own_answer(405, "post it")
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -20,11 +20,11 @@
 from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.core.mesh.slots import SETTLE_SECONDS
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.coldwatch import ColdWatch
-from sequoiaspoke.sidecar.crashwatch import CrashWatch, Sent
-from sequoiaspoke.sidecar.downwatch import DownWatch
+from sequoiaspoke.sidecar.coldmonitor import ColdMonitor
+from sequoiaspoke.sidecar.crashdetector import CrashDetector, SentCall
+from sequoiaspoke.sidecar.crashguard import CrashGuard
 from sequoiaspoke.sidecar.homecall import Running
-from sequoiaspoke.sidecar.suspicion import Suspicion
+from sequoiaspoke.sidecar.outagelog import OutageLog
 from sequoiaspoke.sidecar.upstream import UNREACHABLE
 
 if TYPE_CHECKING:
@@ -39,12 +39,12 @@
     from sequoiaspoke.sidecar.upstream import Upstream
 
 # Slots of an upstream that the platform has not told yet; every one has one.
-UNKNOWN_SLOTS = 1
+INITIAL_SLOTS = 1
 # Retry-After of a node that is about to stop, in seconds.
-LEAVING_SECONDS = 0.3
+LEAVING_RETRY_AFTER = 0.3
 # Retry-After of a node whose zone is evacuated, in seconds; a caller gets it only if no
 # other zone has served its call.
-EVACUATED_SECONDS = 0.3
+EVACUATED_RETRY_AFTER = 0.3
 
 
 class Home:
@@ -58,7 +58,7 @@
         Whether this zone is evacuated and the upstream gets no new calls.
     incarnation : Incarnation or None
         The start of the upstream, as the platform last told it.
-    load : Load or None
+    last_load : Load or None
         What the upstream told of itself with the last outcome, for the log.
     """
 
@@ -66,29 +66,29 @@
         self.upstream = upstream
         self.directory = directory
         self.log = log
-        self.admission = Admission(UNKNOWN_SLOTS)
+        self.admission = Admission(INITIAL_SLOTS)
         self.ledger = Ledger()
         self.calls: dict[Hashable, Running] = {}
         self.leaving = False
         self.evacuated = False
-        self.taken_back_at = 0
+        self.evacuation_ended_at = 0
         cold_start = self.admission.cold_start
-        self.cold_watch = ColdWatch(cold_start, upstream, log, self.advance)
-        self.suspicion = Suspicion(directory, log)
-        self.suspicion.on_change = self.separate_suspects
-        self.crash_watch = CrashWatch(
-            lambda: self.upstream.refuses(),
-            self.suspicion.service_of,
-            self.suspicion.report,
+        self.cold_monitor = ColdMonitor(cold_start, upstream, log, self.dispatch)
+        self.crash_guard = CrashGuard(directory, log)
+        self.crash_guard.on_change = self.apply_quarantine
+        self.crash_detector = CrashDetector(
+            lambda: self.upstream.refuses_connections(),
+            self.crash_guard.service_of,
+            self.crash_guard.report,
         )
         self.incarnation: Incarnation | None = None
-        self.load: Load | None = None
-        self.down_watch = DownWatch(log)
+        self.last_load: Load | None = None
+        self.outage_log = OutageLog(log)
         self.leavers = Leavers(directory.left)
         self.counts: Counter[str] = Counter()
 
     def submit(
-        self, key: Hashable, call: HomeCall, tell: Callable[[Outcome], None]
+        self, key: Hashable, call: HomeCall, on_outcome: Callable[[Outcome], None]
     ) -> None:
         """Take a call, new or asked for again, and tell its outcome once."""
         known = self.ledger.find(key)
@@ -96,13 +96,13 @@
             self.counts["asked-again"] += 1
             running = self.calls.get(key)
             if running is not None:
-                running.tell = tell
+                running.tell = on_outcome
             else:
-                tell(known.outcome or Unknown("answer-forgotten"))
+                on_outcome(known.outcome or Unknown("answer-forgotten"))
             return
-        refusal = self.unwanted(call)
+        refusal = self.find_refusal(call)
         if refusal is not None:
-            tell(refusal)
+            on_outcome(refusal)
             return
         now = clock.now()
         arrival = Arrival(
@@ -118,45 +118,45 @@
         refused = self.admission.arrive(arrival, now)
         if refused is not None and refused.arrival is arrival:
             self.admission.suspects.discard(key)
-            self.turned_away(refused, call)
-            tell(NotRun(refused.reason, refused.retry_after))
+            self.record_refusal(refused, call)
+            on_outcome(NotRun(refused.reason, refused.retry_after))
             return
         self.ledger.begin(key)
-        self.calls[key] = Running(call, tell)
+        self.calls[key] = Running(call, on_outcome)
         if refused is not None:
-            self.give_up(refused)
-        self.advance()
+            self.refuse(refused)
+        self.dispatch()
 
     def expect_earlier_calls(self) -> None:
         """Reckon with calls that a process before this one sent to the upstream."""
         self.admission.upstream.heard = False
         self.admission.cold_start.expect_earlier_calls(clock.STARTED)
-        self.cold_watch.doubt(clock.STARTED)
+        self.cold_monitor.assume_cold(clock.STARTED)
 
-    def unwanted(self, call: HomeCall) -> NotRun | None:
+    def find_refusal(self, call: HomeCall) -> NotRun | None:
         """Return why no call may be taken now, whatever the load."""
         if self.leaving:
-            return NotRun(Turned.LEAVING, LEAVING_SECONDS)
+            return NotRun(Turned.LEAVING, LEAVING_RETRY_AFTER)
         if self.evacuated:
             self.counts[Turned.ZONE_EVACUATED] += 1
-            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_SECONDS)
+            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
         if self.directory.left(call.incarnation):
             return NotRun(Turned.INSTANCE_LEFT)
-        held = self.held_seconds(call)
-        if held:
+        seconds = self.held_seconds(call)
+        if seconds:
             self.counts[Turned.HELD_BACK] += 1
-            return NotRun(Turned.HELD_BACK, held)
+            return NotRun(Turned.HELD_BACK, seconds)
         return None
 
     def suspected(self, call: HomeCall) -> bool:
         """Return whether a call's request may have crashed an upstream."""
-        return self.suspicion.suspected_at(call.incarnation, call.request)
+        return self.crash_guard.suspected_at(call.incarnation, call.request)
 
     def held_seconds(self, call: HomeCall) -> float:
         """Return for how much longer a call's request is held back."""
-        return self.suspicion.held_seconds_at(call.incarnation, call.request)
+        return self.crash_guard.held_seconds_at(call.incarnation, call.request)
 
-    def separate_suspects(self) -> None:
+    def apply_quarantine(self) -> None:
         """Refuse what waits and is held back now, and let no two suspects run."""
         self.admission.suspects = {
             key for key, running in self.calls.items() if self.suspected(running.call)
@@ -165,20 +165,20 @@
             seconds = self.held_seconds(self.calls[arrival.ticket].call)
             if seconds:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.HELD_BACK, seconds))
-        self.advance()
+                self.refuse(Refused(arrival, Turned.HELD_BACK, seconds))
+        self.dispatch()
 
-    def advance(self) -> None:
+    def dispatch(self) -> None:
         """Hand over as many calls as there are slots."""
         while True:
             arrival, late = self.admission.next(clock.now())
             for refused in late:
-                self.give_up(refused)
+                self.refuse(refused)
             if arrival is None:
                 return
             running = self.calls[arrival.ticket]
             running.task = asyncio.ensure_future(self.run(arrival.ticket, running))
-            running.task.add_done_callback(partial(self.ended, arrival.ticket))
+            running.task.add_done_callback(partial(self.task_ended, arrival.ticket))
 
     async def run(self, key: Hashable, running: Running) -> None:
         """Run a call at the upstream."""
@@ -190,58 +190,58 @@
                 call.incarnation.instance,
                 call.deadline,
                 call.idempotent,
-                partial(self.sent, key, call),
+                partial(self.record_sent, key, call),
             )
-            outcome = await self.crash_watch.judge(key, outcome)
-            self.take_load(outcome)
+            outcome = await self.crash_detector.classify(key, outcome)
+            self.apply_load(outcome)
             if isinstance(outcome, Answer):
-                self.suspicion.answered(call.incarnation, call.request)
+                self.crash_guard.answered(call.incarnation, call.request)
         finally:
-            self.crash_watch.end(key)
+            self.crash_detector.call_ended(key)
             if outcome is None:
                 self.abandon(key)
                 self.finish(key, Unknown("cancelled"))
             else:
-                self.free(key, isinstance(outcome, Answer))
+                self.free_slot(key, isinstance(outcome, Answer))
                 self.finish(key, outcome)
 
-    def sent(self, key: Hashable, call: HomeCall) -> None:
+    def record_sent(self, key: Hashable, call: HomeCall) -> None:
         """Note that a call goes out to the upstream."""
         self.admission.send(key, clock.now())
-        sent = Sent(call.request, call.incarnation, self.suspected(call))
-        self.crash_watch.send(key, sent)
+        sent = SentCall(call.request, call.incarnation, self.suspected(call))
+        self.crash_detector.call_sent(key, sent)
 
-    def ended(self, key: Hashable, task: asyncio.Task[None]) -> None:  # noqa: ARG002
+    def task_ended(self, key: Hashable, task: asyncio.Task[None]) -> None:  # noqa: ARG002
         """Give a call up that was cancelled before its task began and ran nothing."""
         if key in self.calls:
             self.abandon(key)
             self.finish(key, Unknown("cancelled"))
 
-    def take_load(self, outcome: Outcome) -> None:
+    def apply_load(self, outcome: Outcome) -> None:
         """Take the upstream's word on its load, or what its silence tells of it."""
-        load, self.upstream.told_load = self.upstream.told_load, None
-        self.load = load
+        load, self.upstream.reported_load = self.upstream.reported_load, None
+        self.last_load = load
         now = clock.now()
-        self.down_watch.take(outcome, now)
+        self.outage_log.record(outcome, now)
         if isinstance(outcome, Answer):
             self.admission.answered(load, now)
         elif isinstance(outcome, NotRun) and outcome.reached:
             self.admission.refused_by_upstream(load, now)
         elif outcome.reason in (UNREACHABLE, UPSTREAM_CRASHED):
             # It may be starting anew, and cold when it can be reached again.
-            self.cold_watch.doubt(now)
+            self.cold_monitor.assume_cold(now)
         elif isinstance(outcome, Unknown) and outcome.reason == RESET_AT_ONCE:
             self.admission.turned_away(now)
 
-    def free(self, key: Hashable, answered: bool) -> None:
+    def free_slot(self, key: Hashable, answered: bool) -> None:
         """Give the slot of a call to the next."""
         self.admission.finish(key, answered, clock.now())
-        self.advance()
+        self.dispatch()
 
     def abandon(self, key: Hashable) -> None:
         """Give the slot of a cancelled call to the next once it is free."""
         self.admission.abandon(key, clock.now())
-        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.advance)
+        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.dispatch)
 
     def finish(self, key: Hashable, outcome: Outcome) -> None:
         """Remember an outcome and tell it."""
@@ -259,18 +259,18 @@
                 reason=outcome.reason,
                 running=self.admission.running,
                 waiting=self.admission.waiting,
-                load=str(self.load) if self.load else "untold",
+                load=str(self.last_load) if self.last_load else "untold",
             )
         if not running.dropped:
             running.tell(outcome)
 
-    def give_up(self, refused: Refused) -> None:
+    def refuse(self, refused: Refused) -> None:
         """Refuse a call that has waited for nothing."""
         key = refused.arrival.ticket
-        self.turned_away(refused, self.calls[key].call)
+        self.record_refusal(refused, self.calls[key].call)
         self.finish(key, NotRun(refused.reason, refused.retry_after))
 
-    def turned_away(self, refused: Refused, call: HomeCall) -> None:
+    def record_refusal(self, refused: Refused, call: HomeCall) -> None:
         """Count and log a refusal."""
         self.counts[refused.reason] += 1
         self.log.call(
@@ -284,7 +284,7 @@
             left=f"{refused.arrival.deadline - clock.now():.3f}",
         )
 
-    def news(self, route: str = "", rank: int = 0) -> News:
+    def load_report(self, route: str = "", rank: int = 0) -> News:
         """Return what entries are told of the upstream's load.
 
         Parameters
@@ -324,30 +324,30 @@
         """Give up on what has waited too long."""
         self.ledger.expire(now)
         self.upstream.tick(now)
-        self.cold_watch.ask_if_due(now)
+        self.cold_monitor.probe_if_due(now)
         if not self.admission.waiting:
             self.leavers.clear()
             return
         for refused in self.admission.overdue(now):
-            self.give_up(refused)
-        self.empty_queue_of_leaver(now)
-        self.advance()
+            self.refuse(refused)
+        self.refuse_calls_to_leaving(now)
+        self.dispatch()
 
-    def empty_queue_of_leaver(self, now: float) -> None:
+    def refuse_calls_to_leaving(self, now: float) -> None:
         """Refuse what still waits for an upstream that has been leaving for a while.
 
         A long queue would otherwise reach it when it is about to exit, and its calls
         would be broken off; now they can still go elsewhere.
         """
         waiting = list(self.admission.queue.values())
-        starts = {self.calls[each.ticket].call.incarnation for each in waiting}
-        gone = self.leavers.overdue(starts, now)
+        incarnations = {self.calls[each.ticket].call.incarnation for each in waiting}
+        overdue = self.leavers.overdue(incarnations, now)
         for arrival in waiting:
-            if self.calls[arrival.ticket].call.incarnation in gone:
+            if self.calls[arrival.ticket].call.incarnation in overdue:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_SECONDS))
+                self.refuse(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_RETRY_AFTER))
 
-    def evacuate(self, evacuated: bool, ended_at: int) -> None:
+    def set_evacuated(self, evacuated: bool, ended_at: int) -> None:
         """Send nothing to the upstream while its zone is evacuated.
 
         Parameters
@@ -355,42 +355,44 @@
         ended_at : int
             Revision of the store at which the zone was last taken back.
         """
-        before, self.evacuated = self.evacuated, evacuated
-        self.cold_watch.held_back = evacuated
-        taken_back, self.taken_back_at = ended_at > self.taken_back_at, ended_at
+        was_evacuated, self.evacuated = self.evacuated, evacuated
+        self.cold_monitor.paused = evacuated
+        ended, self.evacuation_ended_at = ended_at > self.evacuation_ended_at, ended_at
         now = clock.now()
-        if evacuated and not before:
+        if evacuated and not was_evacuated:
             # This node may be the first of all to know. What waits here would reach
             # the upstream; refused now, it can still be served in another zone.
             for arrival in list(self.admission.queue.values()):
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_SECONDS))
-        elif taken_back:
+                self.refuse(
+                    Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
+                )
+        elif ended:
             # Maybe this node never heard that it was empty, for it was only a moment.
-            self.cold_watch.doubt(now)
+            self.cold_monitor.assume_cold(now)
 
-    def take_endpoint(self, endpoint: Endpoint) -> None:
+    def update_endpoint(self, endpoint: Endpoint) -> None:
         """Take what the platform says of the upstream beside this node."""
-        before, self.incarnation = self.incarnation, endpoint.incarnation
-        self.down_watch.instance = endpoint.instance
-        if before is not None and before != endpoint.incarnation:
+        previous, self.incarnation = self.incarnation, endpoint.incarnation
+        self.outage_log.instance = endpoint.instance
+        if previous is not None and previous != endpoint.incarnation:
             self.log.event(
                 "upstream-restarted",
                 instance=endpoint.instance,
                 born=endpoint.born,
-                before=before.instance,
+                before=previous.instance,
             )
             # What was measured is of the start before, and a kept connection leads to
             # a process that is gone: an order sent on it would be lost to its reset.
             self.admission.restarted()
-            self.upstream.forget_connections()
+            self.upstream.close_idle_connections()
         held = self.directory.held.get(endpoint.instance)
         if held is not None:
-            self.cold_watch.take_entry(held)
+            self.cold_monitor.update_from_endpoint(held)
         if endpoint.slots != self.admission.upstream.published:
-            self.take_slots(endpoint.slots)
+            self.set_slots(endpoint.slots)
 
-    def take_slots(self, slots: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Take the platform's word on how many calls the upstream runs at once."""
         self.admission.upstream.published = slots
-        self.advance()
+        self.dispatch()
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -15,8 +15,8 @@
 from sequoiaspoke.core.mesh.outcome import NotRun, Unknown
 from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.pending import Pending
-from sequoiaspoke.sidecar.signs import SignWait
+from sequoiaspoke.sidecar.liveness import LivenessWait
+from sequoiaspoke.sidecar.pending import PendingCall
 from sequoiaspoke.sidecar.wirecalls import pack_call, unpack_news, unpack_outcome
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
@@ -81,7 +81,7 @@
         self.identity = identity
         self.gossip = gossip
         self.log = log
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingCall] = {}
         self.frames: Frames | None = None
         self.greeted = False
         self.kept = False
@@ -95,7 +95,7 @@
         self.pinged = 0.0
         self.offset = 0.0
         self.round_trip = float("inf")
-        self.signs = SignWait(self.no_sign)
+        self.signs = LivenessWait(self.no_sign)
         self.outbox: deque[wire.Frame] = deque(maxlen=OUTBOX_FRAMES)
         self.waited_since = 0.0
         self.driver: asyncio.Task[None] | None = None
@@ -103,9 +103,9 @@
 
     # Calls.
 
-    def submit(self, call: HomeCall, tell: Callable[[Outcome], None]) -> Pending:
+    def submit(self, call: HomeCall, tell: Callable[[Outcome], None]) -> PendingCall:
         """Have the home run a call and tell what came of it, once."""
-        pending = Pending(self.identity.number(), call, tell)
+        pending = PendingCall(self.identity.next_call_number(), call, tell)
         if self.greeted and not call.idempotent and self.doubtful():
             if self.signs.hold(pending):
                 self.ping(clock.now())
@@ -113,7 +113,7 @@
             self.begin(pending)
         return pending
 
-    def begin(self, pending: Pending) -> None:
+    def begin(self, pending: PendingCall) -> None:
         """Send a call, or have it sent once the link stands.
 
         Only once there was a sign where one is needed, as a link that is opened anew
@@ -129,12 +129,12 @@
         else:
             self.open()
 
-    def withdraw(self, pending: Pending) -> None:
+    def withdraw(self, pending: PendingCall) -> None:
         """Tell the home that nobody waits for a call any more."""
-        pending.over = True
+        pending.done = True
         if self.pending.pop(pending.number, None) is None:
             return
-        if self.frames is not None and pending.sent_to is not None:
+        if self.frames is not None and pending.home_incarnation is not None:
             self.frames.send(wire.Frame(cancel=wire.Cancel(pending.number)))
 
     def doubtful(self) -> bool:
@@ -146,7 +146,7 @@
         """
         return clock.now() - self.heard >= HEARD_LATELY
 
-    def no_sign(self, unsent: list[Pending]) -> None:
+    def no_sign(self, unsent: list[PendingCall]) -> None:
         """Give the link up, and the calls that were not sent on it."""
         self.failing = True
         if self.frames is not None:
@@ -154,13 +154,13 @@
         for pending in unsent:
             pending.resolve(NotRun("link-silent"))
 
-    def send_call(self, pending: Pending) -> None:
+    def send_call(self, pending: PendingCall) -> None:
         """Send a call on the link that stands."""
-        if pending.over:
+        if pending.done:
             # Given up on just now, for one as it was sent to an earlier incarnation of
             # the home: sent again it would run twice.
             return
-        pending.sent_to = self.incarnation
+        pending.home_incarnation = self.incarnation
         assert self.frames is not None
         self.frames.send(pack_call(pending.call, pending.number, self.offset))
 
@@ -357,12 +357,12 @@
         self.failing = True
         self.outbox.clear()
         for pending in list(self.pending.values()):
-            if pending.sent_to is None:
+            if pending.home_incarnation is None:
                 self.fail(pending, NotRun("home-unreachable"))
             elif pending.call.idempotent or reason == "refused":
                 self.fail(pending, Unknown("home-unreachable"))
 
-    def fail(self, pending: Pending, outcome: Outcome) -> None:
+    def fail(self, pending: PendingCall, outcome: Outcome) -> None:
         """Give a call up."""
         self.pending.pop(pending.number, None)
         pending.resolve(outcome)
@@ -370,7 +370,7 @@
     def lose_sent(self, reason: str) -> None:
         """Fail the calls that an earlier incarnation of the home was sent."""
         for pending in list(self.pending.values()):
-            if pending.sent_to is not None:
+            if pending.home_incarnation is not None:
                 self.fail(pending, Unknown(reason))
 
     def lose_all(self, reason: str) -> None:
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -41,7 +41,7 @@
         elif frame.cancel is not None:
             self.server.home.cancel((self.peer, frame.cancel.number))
         elif frame.ping is not None:
-            news = pack_news(self.server.home.news())
+            news = pack_news(self.server.home.load_report())
             pong = wire.Pong(frame.ping.sent, clock.now(), news)
             self.frames.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
@@ -88,7 +88,7 @@
 
     def tell(self, number: int, call: HomeCall, outcome: Outcome) -> None:
         """Send what came of a call."""
-        news = self.server.home.news(call.route, call.rank)
+        news = self.server.home.load_report(call.route, call.rank)
         self.frames.send(pack_outcome(number, outcome, news))
 
 
--- a/sequoiaspoke/sidecar/signs.py
+++ b/sequoiaspoke/sidecar/liveness.py
@@ -12,42 +12,44 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sequoiaspoke.sidecar.pending import Pending
+    from sequoiaspoke.sidecar.pending import PendingCall
 
 # Seconds for which a sign is awaited.
-SIGN_SECONDS = 0.25
+LIVENESS_TIMEOUT = 0.25
 
 
-class SignWait:
+class LivenessWait:
     """The calls that wait for a sign on one link.
 
     Attributes
     ----------
-    on_none : callable
+    on_timeout : callable
         Told of the calls that waited in vain.
     """
 
-    def __init__(self, on_none: Callable[[list[Pending]], None]) -> None:
-        self.on_none = on_none
-        self.held: list[Pending] = []
-        self.due: asyncio.TimerHandle | None = None
+    def __init__(self, on_timeout: Callable[[list[PendingCall]], None]) -> None:
+        self.on_timeout = on_timeout
+        self.held: list[PendingCall] = []
+        self.timer: asyncio.TimerHandle | None = None
 
-    def hold(self, pending: Pending) -> bool:
+    def hold(self, pending: PendingCall) -> bool:
         """Hold a call; return whether a sign has to be asked for."""
         self.held.append(pending)
-        if self.due is not None:
+        if self.timer is not None:
             return False
-        self.due = asyncio.get_running_loop().call_later(SIGN_SECONDS, self.none_came)
+        self.timer = asyncio.get_running_loop().call_later(
+            LIVENESS_TIMEOUT, self.time_out
+        )
         return True
 
-    def release(self) -> list[Pending]:
+    def release(self) -> list[PendingCall]:
         """Stop waiting, and return the calls that are still wanted."""
-        if self.due is not None:
-            self.due.cancel()
-            self.due = None
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
         held, self.held = self.held, []
-        return [pending for pending in held if not pending.over]
+        return [pending for pending in held if not pending.done]
 
-    def none_came(self) -> None:
+    def time_out(self) -> None:
         """Give up the wait."""
-        self.on_none(self.release())
+        self.on_timeout(self.release())
--- a/sequoiaspoke/sidecar/downwatch.py
+++ b/sequoiaspoke/sidecar/outagelog.py
@@ -12,7 +12,7 @@
     from sequoiaspoke.sidecar.logs import EventLog
 
 
-class DownWatch:
+class OutageLog:
     """Tells by the outcomes of calls whether the upstream can be reached.
 
     Attributes
@@ -28,7 +28,7 @@
         self.instance = ""
         self.down_since: float | None = None
 
-    def take(self, outcome: Outcome, now: float) -> None:
+    def record(self, outcome: Outcome, now: float) -> None:
         """Take what came of a call."""
         unreachable = isinstance(outcome, NotRun) and outcome.reason == UNREACHABLE
         if unreachable and self.down_since is None:
--- a/sequoiaspoke/sidecar/pending.py
+++ b/sequoiaspoke/sidecar/pending.py
@@ -11,29 +11,29 @@
     from sequoiaspoke.sidecar.homecall import HomeCall
 
 
-class Pending:
+class PendingCall:
     """A call under way at another node.
 
     Attributes
     ----------
-    sent_to : int or None
+    home_incarnation : int or None
         The incarnation of the home that it was sent to.
     """
 
     def __init__(
-        self, number: int, call: HomeCall, tell: Callable[[Outcome], None]
+        self, number: int, call: HomeCall, on_outcome: Callable[[Outcome], None]
     ) -> None:
         self.number = number
         self.call = call
-        self.tell = tell
-        self.over = False
-        self.sent_to: int | None = None
+        self.on_outcome = on_outcome
+        self.done = False
+        self.home_incarnation: int | None = None
 
     def resolve(self, outcome: Outcome) -> None:
         """Hand over what came of the call."""
-        if not self.over:
-            self.over = True
-            self.tell(outcome)
+        if not self.done:
+            self.done = True
+            self.on_outcome(outcome)
 
 
 class LinkIdentity:
@@ -43,9 +43,9 @@
         self.host = host
         self.zone = zone
         self.incarnation = incarnation
-        self.count = 0
+        self.last_number = 0
 
-    def number(self) -> int:
+    def next_call_number(self) -> int:
         """Return the number of the next call; never one twice."""
-        self.count += 1
-        return self.count
+        self.last_number += 1
+        return self.last_number
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -22,7 +22,7 @@
     from collections.abc import Callable
 
     from sequoiaspoke.core.mesh.reading import ReadingDuty
-    from sequoiaspoke.sidecar.crashnews import CrashNews
+    from sequoiaspoke.sidecar.crashgossip import CrashGossip
     from sequoiaspoke.sidecar.frames import Frames
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.sidecar.logs import EventLog
@@ -81,7 +81,7 @@
         self.holding_back = False
         self.tellers: dict[str, LinkClient] = {}
         self.told_holding = (0, "")
-        self.crash_news: CrashNews | None = None
+        self.crash_gossip: CrashGossip | None = None
 
     def uninformed(self) -> bool:
         """Return whether this node knows nothing yet."""
@@ -108,16 +108,16 @@
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
             # Others read for this zone from now on, maybe.
             self.state.changed()
-        if self.crash_news is not None:
-            self.crash_news.tell_all(frames.send)
+        if self.crash_gossip is not None:
+            self.crash_gossip.send_all(frames.send)
         self.publish()
 
     def take_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
         """Take news of crashes, or a question for them."""
-        if self.crash_news is not None:
-            self.crash_news.take(message, reply)
+        if self.crash_gossip is not None:
+            self.crash_gossip.receive(message, reply)
 
     def holds(self, frames: Frames, holds: wire.Holds) -> None:
         """Note what a subscriber has by now."""
@@ -249,8 +249,8 @@
         self.tellers[host] = link
         first = host == self.duty.first_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
-        if self.crash_news is not None:
-            self.crash_news.tell_all(link.send)
+        if self.crash_gossip is not None:
+            self.crash_gossip.send_all(link.send)
 
     def tell_held(self) -> None:
         """Tell the readers which configuration this node has, if that is news to them.
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -36,12 +36,12 @@
             for (service, status), count in entry.counts.items()
         },
         "refused": dict(entry.reasons),
-        "held": held_requests(home.suspicion.quarantine, now),
+        "held": held_requests(home.crash_guard.quarantine, now),
         "details": {
             "age": f"{min(state.age(now), 1e6):.1f}s",
             "endpoints": len(state.directory.held),
             "evacuated-zones": sorted(state.evacuations.zones),
-            "suspected": len(home.suspicion.quarantine.crashes.by_request),
+            "suspected": len(home.crash_guard.quarantine.crashes.by_request),
             "cold": f"{max(0.0, cold.cold_until - now):.1f}s",
             "cold-in-doubt": cold.doubted(now),
             "cold-bound": cold.most,
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -30,14 +30,14 @@
 # away by a full upstream: one that was run, and whose answer was lost, takes the time
 # of its work, which is less than a quarter of the mean for few calls. Never sooner than
 # so many seconds, which a busy VM may need to see a reset.
-RESET_PART, RESET_SECONDS = 0.25, 0.02
+RESET_FRACTION, MIN_RESET_SECONDS = 0.25, 0.02
 # Reason of a call for which no connection could be opened.
 UNREACHABLE = "upstream-unreachable"
 # Weight of the newest call in the usual time.
-NEWEST = 0.05
+NEWEST_WEIGHT = 0.05
 
 
-def read_load(text: str) -> Load | None:
+def parse_load(text: str) -> Load | None:
     """Return what an upstream says of its load."""
     parts = [part.strip() for part in text.split(",")]
     # Longer numbers are not a count of calls.
@@ -46,7 +46,7 @@
     return Load(*(int(part) for part in parts[:3]))
 
 
-def read_milliseconds(text: str) -> float:
+def parse_milliseconds(text: str) -> float:
     """Return seconds from a header in milliseconds; 0 without one that can be read."""
     return int(text) / 1000 if text.isdecimal() and len(text) < 9 else 0.0
 
@@ -56,9 +56,9 @@
 
     Attributes
     ----------
-    told_load : Load or None
+    reported_load : Load or None
         What it said of its load with the last answer, until that is taken.
-    usual_seconds : float
+    average_seconds : float
         Time in which it usually answers.
     """
 
@@ -69,8 +69,8 @@
         self.deadlines = Deadlines()
         self.idle: list[ClientConnection] = []
         self.connects = 0
-        self.told_load: Load | None = None
-        self.usual_seconds = 0.0
+        self.reported_load: Load | None = None
+        self.average_seconds = 0.0
 
     async def call(
         self,
@@ -87,45 +87,45 @@
         on_send : callable
             Called as the request goes out, which may be long after this was called.
         """
-        connection = self.reuse(idempotent) or await self.connect()
+        connection = self.take_idle(idempotent) or await self.connect()
         if connection is None:
             return NotRun(UNREACHABLE)
-        idle = clock.now() - connection.used
-        left = deadline - clock.now()
-        if left <= 0:
+        idle_seconds = clock.now() - connection.used
+        remaining = deadline - clock.now()
+        if remaining <= 0:
             self.release(connection)
             return NotRun("no-time")
         extra = (
-            (self.names.time_left, str(int(left * 1000))),
+            (self.names.time_left, str(int(remaining * 1000))),
             (self.names.instance, instance),
         )
         call_id = request.header(self.names.call_id)
         text = request_text(request, extra)
         if connection.closed:
             return NotRun("connection-closed")
-        begun = clock.now()
+        started_at = clock.now()
         on_send()
         outcome = await connection.exchange(
             text, call_id, request.method == "HEAD", deadline
         )
         self.release(connection)
-        seconds = clock.now() - begun
+        seconds = clock.now() - started_at
         if isinstance(outcome, Unknown):
             # A connection that idled for long may have been forgotten.
-            soon = max(RESET_SECONDS, RESET_PART * self.usual_seconds)
-            full = seconds < soon and idle < FRESH_SECONDS
+            reset_limit = max(MIN_RESET_SECONDS, RESET_FRACTION * self.average_seconds)
+            early = seconds < reset_limit and idle_seconds < FRESH_SECONDS
             silent = outcome.reason == CONNECTION_LOST and not connection.answering
-            return Unknown(RESET_AT_ONCE) if full and silent else outcome
-        usual = self.usual_seconds or seconds
-        self.usual_seconds = usual + NEWEST * (seconds - usual)
-        return self.judge(outcome, seconds)
+            return Unknown(RESET_AT_ONCE) if early and silent else outcome
+        average = self.average_seconds or seconds
+        self.average_seconds = average + NEWEST_WEIGHT * (seconds - average)
+        return self.classify(outcome, seconds)
 
-    async def ask_cold(self, path: str, deadline: float) -> float | None:
+    async def query_cold_seconds(self, path: str, deadline: float) -> float | None:
         """Return the seconds for which the upstream stays cold by its health answer.
 
         None if it does not say.
         """
-        connection = self.reuse(idempotent=True) or await self.connect()
+        connection = self.take_idle(idempotent=True) or await self.connect()
         if connection is None:
             return None
         text = f"GET {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n"
@@ -135,11 +135,11 @@
             return None
         if find_header(outcome.headers, self.names.not_run):
             return None
-        return read_milliseconds(find_header(outcome.headers, self.names.cold))
+        return parse_milliseconds(find_header(outcome.headers, self.names.cold))
 
-    def judge(self, answer: Answer, seconds: float) -> Outcome:
+    def classify(self, answer: Answer, seconds: float) -> Outcome:
         """Tell an answer from a refusal and from bytes that are not an answer."""
-        self.told_load = read_load(find_header(answer.headers, self.names.load))
+        self.reported_load = parse_load(find_header(answer.headers, self.names.load))
         if find_header(answer.headers, self.names.not_run):
             return NotRun("upstream-refused", reached=True)
         if answer.status == 421:
@@ -151,7 +151,7 @@
             return Unknown("answer-encoded")
         return Answer(answer.status, end_to_end(answer.headers), answer.body, seconds)
 
-    def reuse(self, idempotent: bool) -> ClientConnection | None:
+    def take_idle(self, idempotent: bool) -> ClientConnection | None:
         """Return the connection that was used last, if it may be used again."""
         now = clock.now()
         while self.idle:
@@ -170,7 +170,7 @@
             (self.host, self.port), self.names.call_id, self.deadlines
         )
 
-    async def refuses(self) -> bool:
+    async def refuses_connections(self) -> bool:
         """Return whether nobody accepts connections at the upstream."""
         try:
             connection = await connect(
@@ -191,7 +191,7 @@
             return
         self.idle.append(connection)
 
-    def forget_connections(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the idle connections."""
         for connection in self.idle:
             connection.close()
--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -46,7 +46,7 @@
 class CrashingUpstream:
     """An upstream that ends under some requests and starts anew."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
@@ -83,7 +83,7 @@
             self.running.pop(ended, None)
         return Unknown(CONNECTION_LOST)
 
-    async def refuses(self):
+    async def refuses_connections(self):
         return not self.up
 
     def crash(self, target="", instance=None):
@@ -98,7 +98,7 @@
         loop.call_later(LEASE, self.world.store.put, self.instance, None)
         loop.call_later(self.world.rng.uniform(*DOWN), self.start)
 
-    def forget_connections(self):
+    def close_idle_connections(self):
         pass
 
     def tick(self, now):
@@ -118,7 +118,7 @@
         super().start()
         self.sidecar.upstream = self.upstream
         self.sidecar.home.upstream = self.upstream
-        self.sidecar.home.cold_watch.upstream = self.upstream
+        self.sidecar.home.cold_monitor.upstream = self.upstream
 
 
 class CrashWorld(SpreadWorld):
@@ -260,7 +260,7 @@
         return {
             request
             for node in self.nodes.values()
-            for request in node.sidecar.home.suspicion.quarantine.held(self.now())
+            for request in node.sidecar.home.crash_guard.quarantine.held(self.now())
         }
 
     def proven(self):
@@ -268,7 +268,7 @@
         return {
             fingerprint
             for node in self.nodes.values()
-            for crash in node.sidecar.home.suspicion.quarantine.crashes.known.values()
+            for crash in node.sidecar.home.crash_guard.quarantine.crashes.known.values()
             for fingerprint in crash.culprits
         }
 
@@ -276,7 +276,7 @@
         """Note for how long anything is held back at most."""
         while True:
             for node in self.nodes.values():
-                held = node.sidecar.home.suspicion.quarantine.held(self.now())
+                held = node.sidecar.home.crash_guard.quarantine.held(self.now())
                 self.longest_hold = max(self.longest_hold, *held.values(), 0.0)
             await asyncio.sleep(0.05)
 
@@ -287,7 +287,7 @@
 
     def check_all_know_the_same(self):
         known = {
-            node.sidecar.home.suspicion.quarantine.crashes.checksum
+            node.sidecar.home.crash_guard.quarantine.crashes.checksum
             for node in self.nodes.values()
         }
         if len(known) > 1:
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -154,7 +154,7 @@
 class SimUpstream:
     """An upstream that outlives the node beside it."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self, world, instance):
         self.world, self.instance = world, instance
@@ -179,7 +179,7 @@
             return Unknown("connection-lost")
         return Answer(200, (), call_id.encode(), 0.1)
 
-    async def refuses(self):
+    async def refuses_connections(self):
         return False
 
     def tick(self, now):
@@ -223,7 +223,7 @@
         config = MeshConfig(1, routes, {SERVICE: Service(SERVICE)})
         self.state.table = RouteTable(config)
         self.home = Home(self.upstream, self.state.directory, log)
-        self.home.take_slots(SLOTS)
+        self.home.set_slots(SLOTS)
         spread = Spread(self.state, ReadingDuty(self.host, self.zone), log)
         self.server = LinkServer(self.home, spread, self.incarnation, log)
         identity = LinkIdentity(self.host, self.zone, self.incarnation)
--- a/sequoiaspoke/tests/test_mesh_coldstart.py
+++ b/sequoiaspoke/tests/test_mesh_coldstart.py
@@ -157,7 +157,7 @@
 class TellingUpstream:
     """Answers calls at once and health checks with how cold it is."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self):
         self.cold_seconds = 0.0
@@ -176,11 +176,11 @@
         self.ran.append(clock.now())
         return Answer(200, (), b"")
 
-    async def ask_cold(self, path, deadline):
+    async def query_cold_seconds(self, path, deadline):
         self.asked.append(path)
         return self.cold_seconds if self.reachable else None
 
-    def forget_connections(self):
+    def close_idle_connections(self):
         pass
 
     def tick(self, now):
@@ -199,8 +199,8 @@
             self.directory, self.upstream = Directory(), TellingUpstream()
             self.directory.put(ENDPOINT, 5, self.time)
             self.home = Home(self.upstream, self.directory, log)
-            self.home.take_slots(9)
-            self.home.cold_watch.take_service(SERVICE, LIMITS)
+            self.home.set_slots(9)
+            self.home.cold_monitor.set_service(SERVICE, LIMITS)
             self.told = {}
             await scenario()
 
@@ -237,7 +237,7 @@
     def test_the_entry_tells_that_it_is_cold(self):
         async def scenario():
             self.directory.put(COLD, 6, self.time)
-            self.home.take_endpoint(COLD)
+            self.home.update_endpoint(COLD)
             self.assertEqual(await self.submit(30), MOST - 1)
 
         self.play(scenario)
@@ -246,11 +246,11 @@
         # The operators take a zone back and all entries send to it again. Its
         # upstreams are cold, which their entries told seconds ago or not at all.
         async def scenario():
-            self.home.evacuate(True, 0)
+            self.home.set_evacuated(True, 0)
             await self.wait(2.0)
             self.assertEqual(self.upstream.asked, [])
             self.upstream.cold_seconds = 2.0
-            self.home.evacuate(False, 9)
+            self.home.set_evacuated(False, 9)
             self.assertEqual(await self.submit(30), MOST - 1)
             await self.wait(WINDOW)
             self.assertEqual(self.upstream.asked, ["/health"])
@@ -260,8 +260,8 @@
 
     def test_a_zone_that_is_warm_when_it_is_taken_back_serves_at_once(self):
         async def scenario():
-            self.home.evacuate(True, 0)
-            self.home.evacuate(False, 9)
+            self.home.set_evacuated(True, 0)
+            self.home.set_evacuated(False, 9)
             await self.wait(0.01)
             self.assertEqual(await self.submit(30), 30)
 
@@ -271,7 +271,7 @@
         # It was emptied and taken back before this node heard of either.
         async def scenario():
             self.upstream.cold_seconds = 2.0
-            self.home.evacuate(False, 9)
+            self.home.set_evacuated(False, 9)
             self.assertEqual(await self.submit(30), MOST - 1)
 
         self.play(scenario)
@@ -281,7 +281,7 @@
         # they were handed over, they would arrive beside as many of the next second.
         async def scenario():
             self.directory.put(COLD, 6, self.time)
-            self.home.take_endpoint(COLD)
+            self.home.update_endpoint(COLD)
             self.upstream.gate = asyncio.Event()
             await self.submit(30)
             await self.wait(1.2)
--- a/sequoiaspoke/tests/test_mesh_crashing.py
+++ b/sequoiaspoke/tests/test_mesh_crashing.py
@@ -10,7 +10,7 @@
 from sequoiaspoke.core.mesh.outcome import find_header
 from sequoiaspoke.core.mesh.quarantine import HOLD_SECONDS
 from sequoiaspoke.sidecar import wirecalls
-from sequoiaspoke.sidecar.crashnews import CrashNews
+from sequoiaspoke.sidecar.crashgossip import CrashGossip
 from sequoiaspoke.tests.crashsim import KNOWN_WITHIN, SERVICE, CrashWorld
 from sequoiaspoke.tests.meshsim import play_world
 
@@ -146,7 +146,7 @@
             world.expect(await world.ask(CRASH), True)
             await asyncio.sleep(1.0)
             for node in world.nodes.values():
-                known = node.sidecar.home.suspicion.quarantine
+                known = node.sidecar.home.crash_guard.quarantine
                 fingerprint = world.fingerprint(CRASH)
                 world.expect(known.suspected(SERVICE, fingerprint), False)
 
@@ -204,7 +204,7 @@
                 upstream.crash()
             await crowd
             for node in world.nodes.values():
-                world.expect(node.sidecar.home.suspicion.quarantine.empty, True)
+                world.expect(node.sidecar.home.crash_guard.quarantine.empty, True)
 
         self.hold(scenario)
 
@@ -225,7 +225,7 @@
         await asyncio.gather(world.crowd(12.0, 20.0), world.repeat(CRASH, 12.0))
 
     def test_what_one_node_found_out_is_told_to_all(self):
-        self.patch(CrashNews, "take", lambda self, message, reply: None)
+        self.patch(CrashGossip, "receive", lambda self, message, reply: None)
         self.patch(wirecalls, "pack_crash", lambda crash, now: None)
         self.caught(self.repeated, f"{CRASH}: ran")
 
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -187,7 +187,7 @@
             directory, self.upstream = Directory(), HeldUpstream()
             directory.put(ENDPOINT, 5, clock.now())
             self.home = Home(self.upstream, directory, log)
-            self.home.take_slots(2)
+            self.home.set_slots(2)
             self.told = {}
             await scenario()
             self.upstream.gate.set()
@@ -208,7 +208,7 @@
             for name in ("a", "b", "c", "d"):
                 self.submit(name)
             await asyncio.sleep(0)
-            self.home.evacuate(True, 0)
+            self.home.set_evacuated(True, 0)
             refused = {"c": "zone-evacuated", "d": "zone-evacuated"}
             found = {name: outcome.reason for name, outcome in self.told.items()}
             self.assertEqual(found, refused)
@@ -223,12 +223,12 @@
     def test_what_comes_is_refused_whoever_sends_it(self):
         # An entry that has not heard of the evacuation yet sends a call.
         async def scenario():
-            self.home.evacuate(True, 0)
+            self.home.set_evacuated(True, 0)
             self.submit("a")
             await asyncio.sleep(0)
             self.assertIsInstance(self.told["a"], NotRun)
             self.assertEqual(self.upstream.ran, [])
-            self.home.evacuate(False, 9)
+            self.home.set_evacuated(False, 9)
             self.submit("b")
             await asyncio.sleep(0)
             self.assertEqual(self.upstream.ran, ["b"])
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -221,7 +221,7 @@
 class RestartingUpstream:
     """Runs calls until it is started again, which breaks them off."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self):
         self.ran = []
@@ -235,7 +235,7 @@
         await self.gate.wait()
         return Unknown("connection-lost") if self.breaking else Answer(200, (), b"")
 
-    def forget_connections(self):
+    def close_idle_connections(self):
         self.forgotten += 1
 
     def tick(self, now):
@@ -250,7 +250,7 @@
             self.directory, self.upstream = Directory(), RestartingUpstream()
             self.directory.put(OLD, 5, clock.now())
             self.home = Home(self.upstream, self.directory, log)
-            self.home.take_endpoint(OLD)
+            self.home.update_endpoint(OLD)
             self.told = []
             await scenario()
 
@@ -268,7 +268,7 @@
         self.upstream.breaking = True
         self.upstream.gate.set()
         self.directory.put(NEW, 8, clock.now())
-        self.home.take_endpoint(NEW)
+        self.home.update_endpoint(NEW)
 
     def test_an_order_that_ran_at_the_start_before_is_not_run_again(self):
         # An order runs as its upstream crashes and starts again under its name. Told as
@@ -305,7 +305,7 @@
             admission = self.home.admission
             admission.durations.begin("x", "r", 0.0)
             admission.finish("x", True, 9.0)
-            self.home.take_endpoint(OLD)
+            self.home.update_endpoint(OLD)
             self.assertEqual(self.upstream.forgotten, 0)
             self.restart()
             self.assertEqual(self.upstream.forgotten, 1)
@@ -316,7 +316,7 @@
 
     def test_a_call_that_waited_runs_at_the_later_start(self):
         async def scenario():
-            self.home.take_slots(1)
+            self.home.set_slots(1)
             for key in ("/1", "/2"):
                 self.submit(key)
             await asyncio.sleep(0)
--- a/sequoiaspoke/tests/test_mesh_property.py
+++ b/sequoiaspoke/tests/test_mesh_property.py
@@ -14,7 +14,7 @@
 from sequoiaspoke.core.mesh.repeats import RepeatBudget
 from sequoiaspoke.sidecar.entry import Entry
 from sequoiaspoke.sidecar.linkclient import LinkClient
-from sequoiaspoke.sidecar.pending import Pending
+from sequoiaspoke.sidecar.pending import PendingCall
 from sequoiaspoke.tests.meshsim import play
 
 SEEDS = int(os.environ.get("MESH_SEEDS", "160"))
@@ -77,14 +77,14 @@
         self.caught("ran 2 times")
 
     def test_what_was_sent_is_not_told_as_not_run(self):
-        resolve = Pending.resolve
+        resolve = PendingCall.resolve
 
         def careless(self, outcome):
             if isinstance(outcome, Unknown):
                 outcome = NotRun(outcome.reason)
             resolve(self, outcome)
 
-        self.patch(Pending, "resolve", careless)
+        self.patch(PendingCall, "resolve", careless)
         self.caught("ran 2 times")
 
     def test_the_budget_holds_repeats(self):
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -58,7 +58,7 @@
 class FakeUpstream:
     """Runs each call until it is told to answer."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self):
         self.runs = []
@@ -86,7 +86,7 @@
         self.upstream = FakeUpstream()
         self.log = EventLog("x-request-id")
         self.home = Home(self.upstream, Directory(), self.log)
-        self.home.take_slots(SLOTS)
+        self.home.set_slots(SLOTS)
         self.server = LinkServer(self.home, NoGossip(), 7, self.log)
         (self.socket,) = bind_sockets(0, "127.0.0.1")
         self.server.add_sockets([self.socket])
@@ -123,7 +123,7 @@
         for link in list(self.server.links):
             link.frames.close()
         self.home = Home(self.upstream, Directory(), self.log)
-        self.home.take_slots(SLOTS)
+        self.home.set_slots(SLOTS)
         self.server = LinkServer(self.home, NoGossip(), 8, self.log)
         self.server.add_sockets(bind_sockets(address[1], address[0]))
 
@@ -256,7 +256,7 @@
         # The upstream drops a cancelled call when it sees its connection close. Sent
         # the next call before that, it has one more than it can run.
         async def scenario(world):
-            world.home.take_slots(1)
+            world.home.set_slots(1)
             first, second = (world.begin(f"/{n}", idempotent=True) for n in (1, 2))
             await world.until(lambda: world.upstream.runs)
             cancelled = clock.now()
--- a/sequoiaspoke/tests/test_sidecar_crashwatch.py
+++ b/sequoiaspoke/tests/test_sidecar_crashdetector.py
@@ -14,14 +14,14 @@
     Unknown,
 )
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.crashwatch import CrashWatch, Sent
+from sequoiaspoke.sidecar.crashdetector import CrashDetector, SentCall
 
 START = Incarnation("i-1")
 LOST = Unknown(CONNECTION_LOST)
 
 
 def sent(target, suspected=False):
-    return Sent(Request("GET", target, (), b""), START, suspected)
+    return SentCall(Request("GET", target, (), b""), START, suspected)
 
 
 class CrashWatchTests(TestCase):
@@ -35,20 +35,20 @@
             return refuses
 
         async def run():
-            watch = CrashWatch(
+            detector = CrashDetector(
                 answer, lambda start: service, lambda *told: self.reports.append(told)
             )
             async with asyncio.timeout(10):
-                return await scenario(watch)
+                return await scenario(detector)
 
         return asyncio.run(run())
 
     def test_all_that_ran_is_suspected_once_the_upstream_accepts_nobody(self):
-        async def scenario(watch):
+        async def scenario(detector):
             for name in ("/a", "/b", "/c"):
-                watch.send(name, sent(name, suspected=name == "/b"))
-            watch.end("/c")
-            lost = [watch.judge(name, LOST) for name in ("/a", "/b")]
+                detector.call_sent(name, sent(name, suspected=name == "/b"))
+            detector.call_ended("/c")
+            lost = [detector.classify(name, LOST) for name in ("/a", "/b")]
             return await asyncio.gather(*lost)
 
         outcomes = self.play(scenario)
@@ -62,30 +62,30 @@
 
     def test_an_upstream_that_drops_one_call_has_not_ended(self):
         # Guards against requests that are suspected for an answer that was lost.
-        async def scenario(watch):
-            watch.send("/a", sent("/a"))
-            return await watch.judge("/a", LOST)
+        async def scenario(detector):
+            detector.call_sent("/a", sent("/a"))
+            return await detector.classify("/a", LOST)
 
         self.assertEqual(self.play(scenario, refuses=False), LOST)
         self.assertEqual(self.reports, [])
 
     def test_an_upstream_at_which_a_call_goes_on_has_not_ended(self):
         # Guards against an upstream with too many connections, which resets new ones.
-        async def scenario(watch):
-            watch.send("/a", sent("/a"))
-            watch.send("/b", sent("/b"))
-            return await watch.judge("/a", LOST)
+        async def scenario(detector):
+            detector.call_sent("/a", sent("/a"))
+            detector.call_sent("/b", sent("/b"))
+            return await detector.classify("/a", LOST)
 
         self.assertEqual(self.play(scenario), LOST)
         self.assertEqual(self.reports, [])
 
     def test_connections_that_are_lost_a_little_later_belong_to_the_same_crash(self):
-        async def scenario(watch):
-            watch.send("/a", sent("/a"))
-            watch.send("/b", sent("/b"))
-            first = asyncio.ensure_future(watch.judge("/a", LOST))
+        async def scenario(detector):
+            detector.call_sent("/a", sent("/a"))
+            detector.call_sent("/b", sent("/b"))
+            first = asyncio.ensure_future(detector.classify("/a", LOST))
             await asyncio.sleep(0.01)
-            return [await watch.judge("/b", LOST), await first]
+            return [await detector.classify("/b", LOST), await first]
 
         outcomes = self.play(scenario)
         self.assertEqual({each.reason for each in outcomes}, {UPSTREAM_CRASHED})
@@ -97,11 +97,11 @@
         self.patch(clock, "now", lambda: now[0])
         known = Crashes()
 
-        async def scenario(watch):
+        async def scenario(detector):
             for number in range(2):
                 now[0] += 1.0
-                watch.send(number, sent("/a"))
-                await watch.judge(number, LOST)
+                detector.call_sent(number, sent("/a"))
+                await detector.classify(number, LOST)
                 known.take(self.reports[-1][0], now[0])
                 if number == 0:
                     known.clear("fleet", sent("/a").request.fingerprint)
@@ -110,16 +110,16 @@
         self.assertEqual(len(known.of("fleet", sent("/a").request.fingerprint)), 1)
 
     def test_a_planned_end_blames_nobody(self):
-        async def scenario(watch):
-            watch.send("/a", sent("/a"))
-            return await watch.judge("/a", LOST)
+        async def scenario(detector):
+            detector.call_sent("/a", sent("/a"))
+            return await detector.classify("/a", LOST)
 
         self.assertEqual(self.play(scenario, service=""), LOST)
 
     def test_a_call_whose_time_is_over_asks_nothing(self):
-        async def scenario(watch):
-            watch.send("/a", sent("/a"))
-            return await watch.judge("/a", Unknown(TIMED_OUT))
+        async def scenario(detector):
+            detector.call_sent("/a", sent("/a"))
+            return await detector.classify("/a", Unknown(TIMED_OUT))
 
         self.assertEqual(self.play(scenario), Unknown(TIMED_OUT))
         self.assertEqual(self.asked, 0)
--- a/sequoiaspoke/tests/test_sidecar_home.py
+++ b/sequoiaspoke/tests/test_sidecar_home.py
@@ -21,7 +21,7 @@
 class HeldUpstream:
     """Answers nothing until it is told to."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self):
         self.ran = []
@@ -48,7 +48,7 @@
             self.directory, self.upstream = Directory(), HeldUpstream()
             self.directory.put(ENDPOINT, 5, self.time)
             self.home = Home(self.upstream, self.directory, log)
-            self.home.take_slots(2)
+            self.home.set_slots(2)
             self.told = {}
             await scenario()
 
