--- a/sequoiaspoke/sidecar/__init__.py
+++ b/sequoiaspoke/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: one process beside each upstream, entry and home of its calls."""
+"""The sidecar: the process beside each upstream, entry and home of calls."""
--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -1,4 +1,4 @@
-"""Put a sidecar together and run it until it is told to stop."""
+"""Assemble a sidecar and run it until it is told to stop."""
 
 from __future__ import annotations
 
@@ -34,27 +34,27 @@
     from sequoiaspoke.sidecar.settings import SidecarSettings
     from sequoiaspoke.sidecar.source import ItemDecoder, ItemStore
 
-# Seconds between two looks at what is overdue, and while no call is under way. Half a
-# second is allowed for a final answer after its time. A node of a large fleet is idle
-# for most of the time, and a look that finds nothing costs a tenth of a call.
+# Seconds between two ticks, with and without calls in progress. A final answer may be
+# up to half a second late. A node of a large fleet is idle most of the time, and a tick
+# without work costs a tenth of a call.
 TICK_SECONDS, IDLE_TICK_SECONDS = 0.1, 0.3
-# Seconds between two looks at the callers' connections: they idle and take their time
-# over a head for seconds, and there may be hundreds.
+# Seconds between two checks of the callers' connections. Their timeouts are seconds
+# long, and there may be hundreds of them.
 CALLERS_TICK_SECONDS = 0.5
-# A look that comes this much too late means that the VM stood still.
+# If more seconds than this pass between two ticks, the VM was paused.
 PAUSE_SECONDS = 1.0
-# Part of the time in which a version has to be in force after which a node that was not
-# confirmed denies no route.
+# Fraction of the time within which a version must be in force. A node that was not
+# confirmed for longer no longer answers that a route does not exist.
 DENY_FRACTION = 0.75
-# Seconds for which a stopping node serves on although nobody waits: callers are moved
-# away after two questions a second apart have found it not ready.
+# Seconds for which a stopping node keeps serving without calls in progress. Callers are
+# moved away after two readiness checks, a second apart, have failed.
 LINGER_SECONDS = 2.6
-# Seconds before its end by which a stopping node's calls should have their answers.
+# Seconds before its end by which a stopping node should have answered all calls.
 ANSWER_MARGIN_SECONDS = 0.2
 
 
 class Sidecar:
-    """One sidecar."""
+    """The parts of one sidecar process and their life cycle."""
 
     def __init__(
         self,
@@ -134,23 +134,23 @@
         self.readers_logged: tuple[str, ...] = ()
 
     def log_unexpected_error(self, error: BaseException) -> None:
-        """Log an error that no code expected."""
+        """Log an unhandled exception."""
         self.log.event("crash", error=repr(error))
 
     def status(self) -> bytes:
-        """Return the page for the operators' status command."""
+        """Return the page that the status command reads."""
         from sequoiaspoke.sidecar.statuspage import status_page
 
         return status_page(self)
 
     def unready_reason(self) -> str:
-        """Return why this node takes no callers, empty if it does."""
+        """Return why this node is not ready for callers, empty if it is."""
         if self.stopping is not None:
             return "stopping"
         return "" if self.state.complete else "uninformed"
 
     def on_state_change(self) -> None:
-        """Follow a change of what is known of the platform, or its confirmation."""
+        """Apply and publish a change or a confirmation of the known state."""
         state = self.state
         current = (
             state.directory.serial,
@@ -164,7 +164,7 @@
         self.spread.publish()
 
     def apply_change(self) -> None:
-        """Follow a change of what is known of the platform."""
+        """Apply the changed state to all parts of the node."""
         if self.state.table is not None:
             self.callers.current_limits = self.state.table.config.limits
             service = self.state.table.config.services.get(self.settings.service)
@@ -192,7 +192,7 @@
         self.entry.attempts.placing.retain(incarnations)
 
     def listen(self) -> None:
-        """Open the addresses of the settings."""
+        """Listen on the addresses of the settings."""
         servers = (
             (self.callers, self.settings.callers),
             (self.links, self.settings.links),
@@ -215,7 +215,7 @@
             service=self.settings.service,
             incarnation=self.incarnation,
         )
-        # What was imported stays for ever; the collector need not look at it.
+        # Imported modules are never freed, so that the collector can skip them.
         gc.freeze()
         gc.enable()
         follower = asyncio.ensure_future(self.follower.run())
@@ -226,16 +226,16 @@
         self.log.event("end", node=self.settings.node)
 
     def follower_ended(self, task: asyncio.Task[None]) -> None:
-        """Log the end of following, which only the end of the process allows."""
+        """Log an error that ended the follower before the process stops."""
         if not task.cancelled() and task.exception() is not None:
             self.log.event("crash", error=repr(task.exception()))
 
     def run_ticks(self) -> None:
-        """Look at everything that time changes, again and again."""
+        """Tick, and schedule the next tick until the process stops."""
         try:
             self.tick()
         except Exception as error:
-            # One part's fault must not end the calls of all others.
+            # An error in one part must not stop the others and end all calls.
             self.log_unexpected_error(error)
         if not self.stopped.is_set():
             pause = self.tick_interval = (
@@ -245,18 +245,18 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no call is under way at this node and none of its links."""
+        """Return whether no call is in progress and the node is not stopping."""
         busy = self.home.calls or self.peers.watched or self.stopping is not None
         return not busy
 
     def tick(self) -> None:
-        """Look at everything that time changes."""
+        """Run the periodic work of all parts."""
         now = clock.now()
         if now - self.ticked_at > PAUSE_SECONDS:
             self.log.event("pause", seconds=f"{now - self.ticked_at:.2f}")
             self.entry.woke(now)
             self.upstream.deadlines.woke(now)
-            # Whatever was read before may be long out of date.
+            # What was read before the pause may be out of date.
             self.follower.store.reconnect()
         self.loop_delay = max(0.0, now - self.ticked_at - self.tick_interval)
         self.ticked_at = now
@@ -272,11 +272,11 @@
             self.finish_if_idle(now)
 
     def reload_settings(self) -> None:
-        """Read the settings anew."""
+        """Reload the settings."""
         try:
             settings = self.reload()
         except SettingsError as error:
-            # The old settings stay in force.
+            # The previous settings remain in effect.
             self.log.event("reload-failed", code=error.code, reason=str(error))
             return
         self.log.event("reload", changed=settings != self.settings)
@@ -290,7 +290,10 @@
     # Stopping.
 
     def stop(self) -> None:
-        """Begin to stop: no new calls for the upstream, callers move away."""
+        """Begin to stop, and stay reachable while callers move away.
+
+        The home refuses new calls only after `leave_after` seconds.
+        """
         if self.stopping is not None:
             return
         self.stopping = clock.now()
@@ -301,7 +304,7 @@
         )
 
     def finish_if_idle(self, now: float) -> None:
-        """End once nobody waits for anything, or the time allowed is over."""
+        """End once all calls are answered, or when the time to drain is over."""
         assert self.stopping is not None
         elapsed = now - self.stopping
         if elapsed > self.settings.leave_after and not self.home.leaving:
--- a/sequoiaspoke/sidecar/clock.py
+++ b/sequoiaspoke/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The clock that all of a sidecar's decisions use."""
+"""The clock used for all decisions of a sidecar."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 def now() -> float:
-    """Return seconds that go on while the VM is suspended.
+    """Return seconds of a clock that also counts while the VM is suspended.
 
-    The steady clock stands still then: a call would keep its time although its
-    caller has long gone. The time of day may jump, so it is never used.
+    The monotonic clock stops then, so that a call would keep its time although its
+    caller has long gone. The time of day is never used, as it may jump.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# When this process began, but for the few imports before this module.
+# Start of this process, apart from the few imports before this module.
 STARTED = now()
--- a/sequoiaspoke/sidecar/coldmonitor.py
+++ b/sequoiaspoke/sidecar/coldmonitor.py
@@ -1,8 +1,8 @@
 """Find out whether the upstream beside this node is cold.
 
-Its entry tells so a report late, and not at all while the upstream cannot report. Where
-it may have become cold unseen it is asked; one health check costs less than a call
-and spares a warm upstream the bound for cold ones.
+Its endpoint in the directory shows that one report late, and not at all while the
+upstream cannot report. If it may have become cold unnoticed, its health check is asked:
+that costs less than a call and spares a warm upstream the limit for cold ones.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.upstream import Upstream
 
-# Seconds for the answer to a question, and between two questions.
+# Timeout of a probe and time between two probes, in seconds.
 PROBE_TIMEOUT, PROBE_INTERVAL = 0.5, 0.2
 
 
 class ColdMonitor:
-    """Keeps what is known of how cold one upstream is.
+    """Keeps the cold state of one upstream up to date.
 
     Attributes
     ----------
     paused : bool
-        Whether nothing may be sent to the upstream, health checks included.
+        Whether nothing may be sent to the upstream, not even probes.
     on_reported : callable
-        Called when the upstream has told how cold it is.
+        Called when a probe has returned how long the upstream stays cold.
     """
 
     def __init__(
@@ -54,24 +54,24 @@
         self.endpoint_revision = 0
 
     def set_service(self, service: Service, limits: ColdLimits) -> None:
-        """Take what the operators say of the service of the upstream."""
+        """Set the operators' settings for the upstream's service."""
         self.service = service
         self.cold_start.most = limits.most(service.cold_rate)
 
     def update_from_endpoint(self, held: Held) -> None:
-        """Take what the upstream's entry says, once for each report."""
+        """Apply the cold state that the endpoint shows, once per revision."""
         if held.revision != self.endpoint_revision:
             self.endpoint_revision = held.revision
             self.cold_start.published(held.cold_until)
 
     def assume_cold(self, now: float) -> None:
-        """Take the upstream for cold until it tells whether it is."""
+        """Treat the upstream as cold until it reports its state."""
         seconds = self.service.cold_seconds if self.service else 0.0
         self.cold_start.doubt(now, seconds)
         self.probe_if_due(now)
 
     def probe_if_due(self, now: float) -> None:
-        """Ask an upstream that is in doubt; it may be warm and bear all calls."""
+        """Start a probe if the cold state is in doubt and no probe was made lately."""
         if (
             self.paused
             or self.probe_task is not None
@@ -84,7 +84,7 @@
             self.probe_task = asyncio.ensure_future(self.probe(path))
 
     async def probe(self, path: str) -> None:
-        """Ask the upstream how long it stays cold."""
+        """Ask the upstream how long it stays cold, and apply the answer."""
         try:
             seconds = await self.upstream.query_cold_seconds(
                 path, clock.now() + PROBE_TIMEOUT
--- a/sequoiaspoke/sidecar/crashdetector.py
+++ b/sequoiaspoke/sidecar/crashdetector.py
@@ -1,7 +1,7 @@
-"""Find out whether the upstream beside this node has ended under its calls.
+"""Detect that the upstream beside this node has crashed while it ran calls.
 
-A connection that is lost says little: the upstream may have dropped one call, or turned
-one away. It has ended if nobody accepts connections there and no call goes on.
+A single lost connection is no evidence, as the upstream may have dropped or refused
+just that call. It has crashed if it refuses connections and no call is left running.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     from sequoiaspoke.core.mesh.model import Incarnation
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
 
-# Seconds within which all connections of an upstream that has ended are lost.
+# Seconds within which all connections to a crashed upstream are lost.
 ALL_LOST_SECONDS = 0.05
-# Seconds between two looks at whether they are.
+# Seconds between two checks whether they are.
 POLL_SECONDS = 0.005
 
 
@@ -39,7 +39,7 @@
     Attributes
     ----------
     suspected : bool
-        Whether its request was under suspicion when it was sent.
+        Whether its request was suspected when it was sent.
     """
 
     request: Request
@@ -48,14 +48,16 @@
 
 
 class CrashDetector:
-    """Watches the calls at the upstream for its end.
+    """Tracks the calls at the upstream and detects its crash.
 
     Parameters
     ----------
     refuses_connections : callable
-        Tells whether nobody accepts connections at the upstream.
+        Returns whether the upstream refuses connections.
     service_of : callable
-        Returns the service of a start; empty if its end was planned or is not known.
+        Returns the service of an incarnation, empty if it is draining or unknown.
+    on_crash : callable
+        Called with the crash report and the calls that were lost.
     """
 
     def __init__(
@@ -68,21 +70,21 @@
         self.service_of = service_of
         self.on_crash = on_crash
         self.sent: dict[Hashable, SentCall] = {}
-        # By key, in the order in which they were lost.
+        # Keys of the lost calls in the order of their loss.
         self.lost: dict[Hashable, None] = {}
         self.detection: asyncio.Task[Crash | None] | None = None
 
     def call_sent(self, key: Hashable, sent: SentCall) -> None:
-        """Note a call that goes out."""
+        """Record a call that is being sent."""
         self.sent[key] = sent
 
     def call_ended(self, key: Hashable) -> None:
-        """Note that a call is over, unless its loss is looked into."""
+        """Record that a call has ended, unless its loss is being examined."""
         if key not in self.lost:
             self.sent.pop(key, None)
 
     async def classify(self, key: Hashable, outcome: Outcome) -> Outcome:
-        """Return an outcome, as that of a crash if the upstream has ended."""
+        """Return the outcome of a call, replaced if the upstream has crashed."""
         broken = isinstance(outcome, Unknown) and outcome.reason in (
             CONNECTION_LOST,
             RESET_AT_ONCE,
@@ -96,7 +98,7 @@
         return outcome if crash is None else Unknown(UPSTREAM_CRASHED, crash)
 
     async def detect(self) -> Crash | None:
-        """Return the crash that a loss of connections is, if it is one."""
+        """Return the crash behind the lost connections, None if there was none."""
         try:
             ended = (
                 await self.refuses_connections() and await self.wait_until_all_lost()
@@ -109,7 +111,7 @@
             self.detection = None
 
     async def wait_until_all_lost(self) -> bool:
-        """Return whether no call goes on at the upstream."""
+        """Wait for the loss of all calls; return whether it came in time."""
         deadline = clock.now() + ALL_LOST_SECONDS
         while self.sent.keys() - self.lost.keys():
             if clock.now() > deadline:
@@ -118,7 +120,10 @@
         return True
 
     def report_crash(self) -> Crash | None:
-        """Return the crash that ended the calls that were lost, and report it."""
+        """Report the crash that ended the lost calls, and return it.
+
+        Returns None if the upstream was draining or its service is unknown.
+        """
         calls = [self.sent[key] for key in self.lost]
         incarnation = calls[-1].incarnation
         service = self.service_of(incarnation)
--- a/sequoiaspoke/sidecar/crashgossip.py
+++ b/sequoiaspoke/sidecar/crashgossip.py
@@ -1,9 +1,9 @@
-"""Tell all nodes under which requests upstreams have ended.
+"""Spread crash reports to all nodes.
 
-News go to the readers of the zone, which tell their subscribers and some nodes of each
-other zone; who hears them for the first time tells them on in the same way. Nodes that
-a cut or a restart kept from hearing them are found by comparing checksums, which costs
-nothing while nobody knows of a crash.
+A report goes to the readers of the zone, which forward it to their subscribers and to
+some nodes of each other zone. A node that receives a new report forwards it in the same
+way. Nodes that missed reports through a partition or a restart are found by comparing
+checksums, which costs nothing while no crash is known.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
     from sequoiaspoke.sidecar.peers import Peers
     from sequoiaspoke.sidecar.spread import Spread
 
-# Nodes of each other zone that are told: one may be dead or cut off.
+# Nodes of each other zone that get a report: one may be down or unreachable.
 RECEIVERS_PER_ZONE = 2
-# Seconds between two comparisons of what other zones know.
+# Seconds between two comparisons of checksums with other zones.
 COMPARE_INTERVAL = 1.0
 
 
 class CrashGossip:
-    """What this node tells others of crashes and learns from them.
+    """Exchanges crash reports with other nodes.
 
     Parameters
     ----------
     record_reports : callable
-        Takes reports of other nodes; returns those that are news.
+        Records reports of other nodes; returns those that were new.
     """
 
     def __init__(
@@ -55,10 +55,17 @@
         self.duty = duty
         self.compared_at = float("-inf")
 
-    # As one who tells.
+    # Sending.
 
     def broadcast(self, crashes: list[Crash], forwarded: bool = False) -> None:
-        """Tell what this node has found out, or tell on what it heard."""
+        """Send crash reports to other nodes.
+
+        Parameters
+        ----------
+        forwarded : bool
+            Whether the reports came from another node; only readers then send them to
+            other zones.
+        """
         if not crashes:
             return
         frame = Prepared(self.frame(crashes))
@@ -67,7 +74,7 @@
             self.send_to_other_zones(frame)
 
     def send_to_zone(self, frame: Prepared) -> None:
-        """Tell the readers of the zone, and whom this node reads for."""
+        """Send a frame to the readers of the zone and the subscribers of this node."""
         for link in self.spread.tellers.values():
             link.send(frame.frame)
         for subscriber in self.spread.subscribers:
@@ -75,19 +82,19 @@
                 subscriber.frames.send_prepared(frame)
 
     def send_to_other_zones(self, frame: Prepared) -> None:
-        """Tell some nodes of each other zone."""
+        """Send a frame to some nodes of each other zone."""
         for hosts in self.other_zones().values():
             for host in self.pick_random(hosts, RECEIVERS_PER_ZONE):
                 self.peers.link(host).post(frame.frame)
 
     def send_all(self, reply: Callable[[wire.Frame], None]) -> None:
-        """Tell one node all that is known here, if there is anything."""
+        """Send all known crashes to one node, if there are any."""
         crashes = list(self.quarantine.crashes.known.values())
         if crashes:
             reply(self.frame(crashes))
 
     def tick(self, now: float) -> None:
-        """Forget what is too long ago, and compare with other zones."""
+        """Expire old crashes and compare checksums with other zones."""
         self.quarantine.crashes.expire(now)
         idle = not self.quarantine.crashes.known or not self.duty.on_duty
         if idle or now - self.compared_at < COMPARE_INTERVAL:
@@ -100,11 +107,11 @@
 
     @property
     def checksum(self) -> int:
-        """Return the number that two nodes share only if they know the same."""
+        """Return the checksum of all known crashes."""
         return self.quarantine.crashes.checksum
 
     def other_zones(self) -> dict[str, list[str]]:
-        """Return the nodes of each other zone."""
+        """Return the hosts of each other zone."""
         zones: defaultdict[str, list[str]] = defaultdict(list)
         for endpoint in self.peers.state.members():
             if endpoint.zone != self.peers.identity.zone:
@@ -112,28 +119,36 @@
         return zones
 
     def pick_random(self, hosts: list[str], count: int) -> list[str]:
-        """Return some of the nodes at random."""
+        """Return up to `count` distinct hosts at random."""
         distinct = sorted(set(hosts))
         return self.peers.rng.sample(distinct, min(count, len(distinct)))
 
     def frame(
         self, crashes: Iterable[Crash], compare: bool = False, whole: bool = False
     ) -> wire.Frame:
-        """Return the frame that tells crashes."""
+        """Return a frame with crash reports.
+
+        Parameters
+        ----------
+        compare : bool
+            Whether the receiver answers with all it knows if its checksum differs.
+        whole : bool
+            Whether these are all crashes that this node knows.
+        """
         now = clock.now()
         reports = [pack_crash(each, now) for each in crashes]
         return wire.Frame(crashes=wire.Crashes(reports, self.checksum, compare, whole))
 
-    # As one who learns.
+    # Receiving.
 
     def receive(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
-        """Take news, or a question whether this node knows the same."""
+        """Record and forward the reports of a message, and answer a comparison."""
         now = clock.now()
         reports = [unpack_crash(each, now) for each in message.crashes]
         self.broadcast(self.record_reports(reports), forwarded=True)
         if message.compare and message.checksum != self.checksum:
-            # What came whole was an answer; the next word is the last.
+            # A whole message is itself an answer; the answer to it ends the exchange.
             known = self.quarantine.crashes.known.values()
             reply(self.frame(known, compare=not message.whole, whole=True))
--- a/sequoiaspoke/sidecar/crashguard.py
+++ b/sequoiaspoke/sidecar/crashguard.py
@@ -1,4 +1,4 @@
-"""What a node knows of requests that crash upstreams, for its entry and its home."""
+"""Track requests suspected of crashing upstreams, for the entry and home of a node."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 def ignore_reports(crashes: list[Crash]) -> None:
-    """Do nothing; until somebody tells the news to others."""
+    """Do nothing; default until crash reports are sent to other nodes."""
 
 
 def ignore_change() -> None:
-    """Do nothing; until a home keeps suspects apart."""
+    """Do nothing; default until a home isolates suspects."""
 
 
 class CrashGuard:
-    """Learns of crashes, clears what is answered and logs both.
+    """Records crashes, clears answered requests, and logs both.
 
     Attributes
     ----------
     on_reports : callable
-        Told what this node has found out and others have to know.
+        Called with crash reports that other nodes must receive.
     on_change : callable
-        Called when other requests are suspected or held back than before.
+        Called when the set of suspected or quarantined requests has changed.
     """
 
     def __init__(self, directory: Directory, log: EventLog) -> None:
@@ -45,9 +45,10 @@
         self.on_change: Callable[[], None] = ignore_change
 
     def service_of(self, incarnation: Incarnation) -> str:
-        """Return the service of an upstream, empty if it leaves or is not known.
+        """Return the service of an upstream, empty if it is draining or unknown.
 
-        One that leaves by plan ends with what still runs there; no request is to blame.
+        A draining upstream exits even if calls still run there, so that no request may
+        be suspected for it.
         """
         held = self.directory.held.get(incarnation.instance)
         if held is None or self.directory.left(incarnation):
@@ -55,32 +56,32 @@
         return held.endpoint.service
 
     def suspected(self, service: str, request: Request) -> bool:
-        """Return whether a request may run only apart from other suspects."""
+        """Return whether a request is a suspect and may not run beside others."""
         if self.quarantine.empty:
             return False
         return self.quarantine.suspected(service, request.fingerprint)
 
     def suspected_at(self, incarnation: Incarnation, request: Request) -> bool:
-        """Return the same for a request that was sent to an upstream."""
+        """Return whether a request is suspected at the service of an upstream."""
         if self.quarantine.empty:
             return False
         return self.suspected(self.service_of(incarnation), request)
 
     def held_seconds(self, service: str, request: Request) -> float:
-        """Return for how much longer a request is held back, 0 if it may run."""
+        """Return the seconds of quarantine left for a request, 0 if it may run."""
         if self.quarantine.empty:
             return 0.0
         now = clock.now()
         return self.quarantine.held_seconds(service, request.fingerprint, now)
 
     def held_seconds_at(self, incarnation: Incarnation, request: Request) -> float:
-        """Return the same for a request that was sent to an upstream."""
+        """Return the seconds of quarantine left at the service of an upstream."""
         if self.quarantine.empty:
             return 0.0
         return self.held_seconds(self.service_of(incarnation), request)
 
     def record_reports(self, crashes: Iterable[Crash]) -> list[Crash]:
-        """Take reports of crashes; return those that are news."""
+        """Record crash reports; return those that changed what this node knows."""
         now = clock.now()
         merged = [self.quarantine.take(crash, now) for crash in crashes]
         changed = [crash for crash in merged if crash is not None]
@@ -90,7 +91,7 @@
         return changed
 
     def report(self, crash: Crash, calls: list[SentCall]) -> None:
-        """Take a crash of the upstream beside this node."""
+        """Log, record and publish a crash of the upstream beside this node."""
         self.log.event(
             "upstream-crashed",
             instance=crash.instance,
@@ -110,7 +111,7 @@
         self.on_reports(self.record_reports([crash]))
 
     def answered(self, incarnation: Incarnation, request: Request) -> None:
-        """Clear a request that an upstream has answered."""
+        """Clear a suspected request that an upstream has answered."""
         if not self.suspected_at(incarnation, request):
             return
         service = self.service_of(incarnation)
@@ -120,7 +121,7 @@
         self.on_reports(cleared)
 
     def release(self, fingerprint: str) -> bool:
-        """Let go of a request at all nodes; return whether it was suspected."""
+        """Clear a request at all nodes; return whether it was suspected."""
         released = self.quarantine.release(fingerprint)
         if not released:
             return False
@@ -132,7 +133,7 @@
         return True
 
     def log_quarantined(self, changed: list[Crash]) -> None:
-        """Log which requests are held back from now on."""
+        """Log the requests that are in quarantine from now on."""
         now = clock.now()
         for crash in changed:
             for fingerprint in sorted(crash.culprits):
--- a/sequoiaspoke/sidecar/crashwire.py
+++ b/sequoiaspoke/sidecar/crashwire.py
@@ -1,4 +1,4 @@
-"""Turn reports of crashes into messages and back."""
+"""Convert crash reports to wire messages and back."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def pack_crash(crash: Crash, now: float) -> wire.Crash:
-    """Return the message for a crash."""
+    """Return the wire message of a crash, with its age in place of its time."""
     return wire.Crash(
         name=crash.name,
         instance=crash.instance,
@@ -21,11 +21,11 @@
 
 
 def unpack_crash(message: wire.Crash, now: float) -> Crash:
-    """Return a crash from its message; raise MessageError if a part is missing."""
+    """Return the crash of a wire message; raise MessageError if a field is missing."""
     parts = (message.name, message.instance, message.service_name, message.age)
     lists = (message.suspects, message.proven, message.cleared)
     if None in parts or None in lists:
-        raise MessageError(f"crash: {message}")
+        raise MessageError(f"incomplete crash report: {message}")
     return Crash(
         name=message.name,
         instance=message.instance,
--- a/sequoiaspoke/sidecar/healthserver.py
+++ b/sequoiaspoke/sidecar/healthserver.py
@@ -1,4 +1,4 @@
-"""Answer whether this node takes callers, its metrics and what it believes."""
+"""Serve the readiness check, metrics and status pages of a node."""
 
 from __future__ import annotations
 
@@ -12,12 +12,22 @@
 
     from sequoiaspoke.core.mesh.outcome import Request
 
-# Where operators post the fingerprint of a request that is held back.
+# Path to which operators post the fingerprint of a quarantined request.
 RELEASE_PATH = "/release/"
 
 
 class HealthPages:
-    """The pages on the health address."""
+    """The pages on the health address.
+
+    Parameters
+    ----------
+    path : str
+        Path of the readiness check.
+    unready_reason : callable
+        Returns why the node is not ready, empty if it is.
+    release : callable
+        Releases the request of a fingerprint; returns whether it was suspected.
+    """
 
     def __init__(
         self,
@@ -34,7 +44,7 @@
         self.release = release
 
     async def handle(self, request: Request) -> Answer:
-        """Return a page."""
+        """Return the answer to a request for a page."""
         path = request.target.partition("?")[0]
         if path == "/metrics":
             kind = ("Content-Type", "text/plain; version=0.0.4")
@@ -51,9 +61,9 @@
         return own_answer(200, "ready")
 
     def release_request(self, request: Request, fingerprint: str) -> Answer:
-        """Let go of a request that is suspected or held back."""
+        """Release a request that is suspected or in quarantine."""
         if request.method != "POST":
-            return own_answer(405, "post it")
+            return own_answer(405, "use POST")
         if not self.release(fingerprint):
             return own_answer(404, "no such request is suspected")
         return own_answer(200, "released")
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -1,4 +1,7 @@
-"""Run calls at the upstream beside this node: the only way to it."""
+"""Run calls at the upstream beside this node.
+
+Every call to the upstream goes through its home.
+"""
 
 from __future__ import annotations
 
@@ -38,28 +41,30 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.upstream import Upstream
 
-# Slots of an upstream that the platform has not told yet; every one has one.
+# Slots assumed until the platform publishes a number; every upstream has at least one.
 INITIAL_SLOTS = 1
-# Retry-After of a node that is about to stop, in seconds.
+# Retry-After, in seconds, of refusals by a node that is about to stop.
 LEAVING_RETRY_AFTER = 0.3
-# Retry-After of a node whose zone is evacuated, in seconds; a caller gets it only if no
-# other zone has served its call.
+# Retry-After, in seconds, of refusals by a node whose zone is evacuated. A caller gets
+# it only if no other zone has served its call.
 EVACUATED_RETRY_AFTER = 0.3
 
 
 class Home:
-    """Admits calls, runs them and remembers what came of them.
+    """Admits calls to the upstream, runs them and records their outcomes.
 
     Attributes
     ----------
     leaving : bool
-        Whether this node is about to stop and takes no new calls.
+        Whether this node is about to stop and refuses new calls.
     evacuated : bool
-        Whether this zone is evacuated and the upstream gets no new calls.
+        Whether the zone is evacuated and new calls are refused.
+    evacuation_ended_at : int
+        Revision of the store at which the last known evacuation of the zone ended.
     incarnation : Incarnation or None
-        The start of the upstream, as the platform last told it.
+        Current incarnation of the upstream, as last published by the platform.
     last_load : Load or None
-        What the upstream told of itself with the last outcome, for the log.
+        Load that the upstream reported with the last outcome, for the log.
     """
 
     def __init__(self, upstream: Upstream, directory: Directory, log: EventLog) -> None:
@@ -90,7 +95,11 @@
     def submit(
         self, key: Hashable, call: HomeCall, on_outcome: Callable[[Outcome], None]
     ) -> None:
-        """Take a call, new or asked for again, and tell its outcome once."""
+        """Accept a call and report its outcome once.
+
+        A key that is known already is not run again: its stored outcome is reported, or
+        `on_outcome` replaces the callback of the running call.
+        """
         known = self.ledger.find(key)
         if known is not None:
             self.counts["asked-again"] += 1
@@ -128,13 +137,16 @@
         self.dispatch()
 
     def expect_earlier_calls(self) -> None:
-        """Reckon with calls that a process before this one sent to the upstream."""
+        """Allow for calls that a previous process of this node sent to the upstream.
+
+        They may still run there, and the upstream may be cold.
+        """
         self.admission.upstream.heard = False
         self.admission.cold_start.expect_earlier_calls(clock.STARTED)
         self.cold_monitor.assume_cold(clock.STARTED)
 
     def find_refusal(self, call: HomeCall) -> NotRun | None:
-        """Return why no call may be taken now, whatever the load."""
+        """Return why a call is refused regardless of load, None if it is not."""
         if self.leaving:
             return NotRun(Turned.LEAVING, LEAVING_RETRY_AFTER)
         if self.evacuated:
@@ -149,15 +161,18 @@
         return None
 
     def suspected(self, call: HomeCall) -> bool:
-        """Return whether a call's request may have crashed an upstream."""
+        """Return whether a call's request is suspected of crashing an upstream."""
         return self.crash_guard.suspected_at(call.incarnation, call.request)
 
     def held_seconds(self, call: HomeCall) -> float:
-        """Return for how much longer a call's request is held back."""
+        """Return the seconds for which a call's request stays in quarantine."""
         return self.crash_guard.held_seconds_at(call.incarnation, call.request)
 
     def apply_quarantine(self) -> None:
-        """Refuse what waits and is held back now, and let no two suspects run."""
+        """Refuse queued calls that are now in quarantine, and update the suspects.
+
+        Admission runs no two suspects at the same time.
+        """
         self.admission.suspects = {
             key for key, running in self.calls.items() if self.suspected(running.call)
         }
@@ -169,7 +184,7 @@
         self.dispatch()
 
     def dispatch(self) -> None:
-        """Hand over as many calls as there are slots."""
+        """Start queued calls while there are free slots."""
         while True:
             arrival, late = self.admission.next(clock.now())
             for refused in late:
@@ -206,19 +221,19 @@
                 self.finish(key, outcome)
 
     def record_sent(self, key: Hashable, call: HomeCall) -> None:
-        """Note that a call goes out to the upstream."""
+        """Record that a call is being sent to the upstream."""
         self.admission.send(key, clock.now())
         sent = SentCall(call.request, call.incarnation, self.suspected(call))
         self.crash_detector.call_sent(key, sent)
 
     def task_ended(self, key: Hashable, task: asyncio.Task[None]) -> None:  # noqa: ARG002
-        """Give a call up that was cancelled before its task began and ran nothing."""
+        """Finish a call whose task was cancelled before it started."""
         if key in self.calls:
             self.abandon(key)
             self.finish(key, Unknown("cancelled"))
 
     def apply_load(self, outcome: Outcome) -> None:
-        """Take the upstream's word on its load, or what its silence tells of it."""
+        """Update admission from the reported load, or from the kind of failure."""
         load, self.upstream.reported_load = self.upstream.reported_load, None
         self.last_load = load
         now = clock.now()
@@ -228,23 +243,26 @@
         elif isinstance(outcome, NotRun) and outcome.reached:
             self.admission.refused_by_upstream(load, now)
         elif outcome.reason in (UNREACHABLE, UPSTREAM_CRASHED):
-            # It may be starting anew, and cold when it can be reached again.
+            # The upstream may be restarting, and is then cold once it is reachable.
             self.cold_monitor.assume_cold(now)
         elif isinstance(outcome, Unknown) and outcome.reason == RESET_AT_ONCE:
             self.admission.turned_away(now)
 
     def free_slot(self, key: Hashable, answered: bool) -> None:
-        """Give the slot of a call to the next."""
+        """Release a call's slot and start the next call."""
         self.admission.finish(key, answered, clock.now())
         self.dispatch()
 
     def abandon(self, key: Hashable) -> None:
-        """Give the slot of a cancelled call to the next once it is free."""
+        """Release the slot of a cancelled call.
+
+        The upstream may work on for a moment, so queued calls start only after that.
+        """
         self.admission.abandon(key, clock.now())
         asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.dispatch)
 
     def finish(self, key: Hashable, outcome: Outcome) -> None:
-        """Remember an outcome and tell it."""
+        """Store a call's outcome and report it."""
         running = self.calls.pop(key)
         self.admission.suspects.discard(key)
         size = len(outcome.body) if isinstance(outcome, Answer) else 0
@@ -265,7 +283,7 @@
             running.tell(outcome)
 
     def refuse(self, refused: Refused) -> None:
-        """Refuse a call that has waited for nothing."""
+        """Refuse a call that was accepted but has not started."""
         key = refused.arrival.ticket
         self.record_refusal(refused, self.calls[key].call)
         self.finish(key, NotRun(refused.reason, refused.retry_after))
@@ -285,14 +303,14 @@
         )
 
     def load_report(self, route: str = "", rank: int = 0) -> News:
-        """Return what entries are told of the upstream's load.
+        """Return the load report that is sent to entries.
 
         Parameters
         ----------
         route : str
-            Route of the call with whose answer this goes, empty for none.
+            Route of the call whose answer carries the report, empty for none.
         rank : int
-            Its priority.
+            Rank of that call in the queue.
         """
         now = clock.now()
         durations = self.admission.durations
@@ -305,10 +323,10 @@
         )
 
     def cancel(self, key: Hashable) -> None:
-        """Drop a call whose caller has left.
+        """Cancel a call whose caller has gone.
 
-        One that may run once only and has begun goes on: breaking it off would leave
-        its effect in doubt.
+        A running call that is not idempotent continues, as it would be unknown whether
+        an interrupted one took effect.
         """
         running = self.calls.get(key)
         if running is None:
@@ -321,7 +339,7 @@
             running.task.cancel()
 
     def tick(self, now: float) -> None:
-        """Give up on what has waited too long."""
+        """Expire old outcomes and connections, and refuse overdue calls."""
         self.ledger.expire(now)
         self.upstream.tick(now)
         self.cold_monitor.probe_if_due(now)
@@ -334,10 +352,10 @@
         self.dispatch()
 
     def refuse_calls_to_leaving(self, now: float) -> None:
-        """Refuse what still waits for an upstream that has been leaving for a while.
+        """Refuse queued calls for an upstream that has been draining for some time.
 
-        A long queue would otherwise reach it when it is about to exit, and its calls
-        would be broken off; now they can still go elsewhere.
+        The end of a long queue would otherwise reach the upstream just before it exits
+        and be interrupted. Refused now, the calls can still be served elsewhere.
         """
         waiting = list(self.admission.queue.values())
         incarnations = {self.calls[each.ticket].call.incarnation for each in waiting}
@@ -348,31 +366,31 @@
                 self.refuse(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_RETRY_AFTER))
 
     def set_evacuated(self, evacuated: bool, ended_at: int) -> None:
-        """Send nothing to the upstream while its zone is evacuated.
+        """Set whether the zone is evacuated; while it is, the upstream gets no calls.
 
         Parameters
         ----------
         ended_at : int
-            Revision of the store at which the zone was last taken back.
+            Revision of the store at which the last evacuation of the zone ended.
         """
         was_evacuated, self.evacuated = self.evacuated, evacuated
         self.cold_monitor.paused = evacuated
         ended, self.evacuation_ended_at = ended_at > self.evacuation_ended_at, ended_at
         now = clock.now()
         if evacuated and not was_evacuated:
-            # This node may be the first of all to know. What waits here would reach
-            # the upstream; refused now, it can still be served in another zone.
+            # Entries may not know of the evacuation yet. Queued calls are refused so
+            # that they can still be served in another zone.
             for arrival in list(self.admission.queue.values()):
                 self.admission.cancel(arrival.ticket)
                 self.refuse(
                     Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
                 )
         elif ended:
-            # Maybe this node never heard that it was empty, for it was only a moment.
+            # The evacuation may have been too short for this node to see its start.
             self.cold_monitor.assume_cold(now)
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
-        """Take what the platform says of the upstream beside this node."""
+        """Apply what the platform publishes of the upstream beside this node."""
         previous, self.incarnation = self.incarnation, endpoint.incarnation
         self.outage_log.instance = endpoint.instance
         if previous is not None and previous != endpoint.incarnation:
@@ -382,8 +400,9 @@
                 born=endpoint.born,
                 before=previous.instance,
             )
-            # What was measured is of the start before, and a kept connection leads to
-            # a process that is gone: an order sent on it would be lost to its reset.
+            # Measurements belong to the previous incarnation. Idle connections lead to
+            # a process that has ended: a call that is not idempotent, sent on one and
+            # reset, would have an unknown outcome.
             self.admission.restarted()
             self.upstream.close_idle_connections()
         held = self.directory.held.get(endpoint.instance)
@@ -393,6 +412,6 @@
             self.set_slots(endpoint.slots)
 
     def set_slots(self, slots: int) -> None:
-        """Take the platform's word on how many calls the upstream runs at once."""
+        """Set the number of calls that the upstream runs at once."""
         self.admission.upstream.published = slots
         self.dispatch()
--- a/sequoiaspoke/sidecar/liveness.py
+++ b/sequoiaspoke/sidecar/liveness.py
@@ -1,7 +1,7 @@
-"""Hold calls back until a home that was silent has given a sign.
+"""Hold calls until a home that has been silent has proved to be alive.
 
-A call that may run once only and is sent into a link that is cut is in doubt until its
-time is over. What was never sent can go elsewhere at once.
+A call that is not idempotent and was sent on a broken link has an unknown outcome until
+its deadline. A call that was never sent can go to another home at once.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
     from sequoiaspoke.sidecar.pending import PendingCall
 
-# Seconds for which a sign is awaited.
+# Seconds to wait for any frame of the home.
 LIVENESS_TIMEOUT = 0.25
 
 
 class LivenessWait:
-    """The calls that wait for a sign on one link.
+    """The calls on one link that wait for a sign of life of the home.
 
     Attributes
     ----------
     on_timeout : callable
-        Told of the calls that waited in vain.
+        Called with the held calls if the home stays silent.
     """
 
     def __init__(self, on_timeout: Callable[[list[PendingCall]], None]) -> None:
@@ -33,7 +33,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def hold(self, pending: PendingCall) -> bool:
-        """Hold a call; return whether a sign has to be asked for."""
+        """Hold a call; return whether the caller must ping the home."""
         self.held.append(pending)
         if self.timer is not None:
             return False
@@ -43,7 +43,7 @@
         return True
 
     def release(self) -> list[PendingCall]:
-        """Stop waiting, and return the calls that are still wanted."""
+        """Stop waiting; return the held calls that are not done."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -51,5 +51,5 @@
         return [pending for pending in held if not pending.done]
 
     def time_out(self) -> None:
-        """Give up the wait."""
+        """Pass the held calls to `on_timeout`."""
         self.on_timeout(self.release())
--- a/sequoiaspoke/sidecar/outagelog.py
+++ b/sequoiaspoke/sidecar/outagelog.py
@@ -1,4 +1,4 @@
-"""Log when the upstream beside this node ends and when it is back."""
+"""Log when the upstream beside this node becomes unreachable and when it is back."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class OutageLog:
-    """Tells by the outcomes of calls whether the upstream can be reached.
+    """Logs outages of the upstream as the outcomes of calls show them.
 
     Attributes
     ----------
     instance : str
-        Name of the upstream, empty while none is known.
+        Instance name of the upstream, empty while it is unknown.
     down_since : float or None
-        Since when it accepts no connection; None if it does.
+        Time of the first failed connection; None while the upstream is reachable.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -29,7 +29,7 @@
         self.down_since: float | None = None
 
     def record(self, outcome: Outcome, now: float) -> None:
-        """Take what came of a call."""
+        """Record the outcome of a call, and log a change."""
         unreachable = isinstance(outcome, NotRun) and outcome.reason == UNREACHABLE
         if unreachable and self.down_since is None:
             self.down_since = now
--- a/sequoiaspoke/sidecar/pending.py
+++ b/sequoiaspoke/sidecar/pending.py
@@ -1,4 +1,4 @@
-"""Calls that an entry has under way at another node, and how they are numbered."""
+"""Calls that an entry has sent or queued for another node, and their numbers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 
 class PendingCall:
-    """A call under way at another node.
+    """A call for another node whose outcome is not known yet.
 
     Attributes
     ----------
     home_incarnation : int or None
-        The incarnation of the home that it was sent to.
+        Incarnation of the home that it was sent to, None while it is not sent.
+    done : bool
+        Whether its outcome was reported or nobody waits for it any more.
     """
 
     def __init__(
@@ -30,14 +32,14 @@
         self.home_incarnation: int | None = None
 
     def resolve(self, outcome: Outcome) -> None:
-        """Hand over what came of the call."""
+        """Report the outcome of the call, unless it is done."""
         if not self.done:
             self.done = True
             self.on_outcome(outcome)
 
 
 class LinkIdentity:
-    """What this node says of itself on each link it opens."""
+    """Identity of this node on the links that it opens, and its numbering of calls."""
 
     def __init__(self, host: str, zone: str, incarnation: int) -> None:
         self.host = host
@@ -46,6 +48,6 @@
         self.last_number = 0
 
     def next_call_number(self) -> int:
-        """Return the number of the next call; never one twice."""
+        """Return a new call number, unique in this process."""
         self.last_number += 1
         return self.last_number
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -26,40 +26,44 @@
     from sequoiaspoke.sidecar.names import HeaderNames
 
 
-# A call whose connection is reset within this part of a usual call's time was turned
-# away by a full upstream: one that was run, and whose answer was lost, takes the time
-# of its work, which is less than a quarter of the mean for few calls. Never sooner than
-# so many seconds, which a busy VM may need to see a reset.
+# A connection that is reset within this fraction of the average call time was refused
+# by a full upstream. A call that ran takes the time of its work, which few calls do in
+# less than a quarter of the average. The limit is at least MIN_RESET_SECONDS, the time
+# that a busy VM may need to notice a reset.
 RESET_FRACTION, MIN_RESET_SECONDS = 0.25, 0.02
-# Reason of a call for which no connection could be opened.
+# Reason of the outcome if no connection could be opened.
 UNREACHABLE = "upstream-unreachable"
-# Weight of the newest call in the usual time.
+# Weight of the newest call in the moving average of call times.
 NEWEST_WEIGHT = 0.05
 
 
 def parse_load(text: str) -> Load | None:
-    """Return what an upstream says of its load."""
+    """Return the load in the value of a load header, None if it is malformed."""
     parts = [part.strip() for part in text.split(",")]
-    # Longer numbers are not a count of calls.
+    # Numbers of seven or more digits are not plausible as counts of calls.
     if len(parts) < 2 or not all(p.isdecimal() and len(p) < 7 for p in parts):
         return None
     return Load(*(int(part) for part in parts[:3]))
 
 
 def parse_milliseconds(text: str) -> float:
-    """Return seconds from a header in milliseconds; 0 without one that can be read."""
+    """Return the seconds of a header in milliseconds, 0 if it is malformed."""
     return int(text) / 1000 if text.isdecimal() and len(text) < 9 else 0.0
 
 
 class Upstream:
-    """The upstream beside this node.
+    """Client of the upstream beside this node.
 
     Attributes
     ----------
+    idle : list of ClientConnection
+        Connections that may be reused, the last used at the end.
+    connects : int
+        Number of connections opened so far.
     reported_load : Load or None
-        What it said of its load with the last answer, until that is taken.
+        Load reported with the last answer, until the home reads it.
     average_seconds : float
-        Time in which it usually answers.
+        Moving average of the time from sending a call to its answer.
     """
 
     def __init__(self, host: str, port: int, names: HeaderNames) -> None:
@@ -80,12 +84,13 @@
         idempotent: bool,
         on_send: Callable[[], None],
     ) -> Outcome:
-        """Have a call run; cancelling it closes its connection.
+        """Run a call; cancelling the coroutine closes the connection.
 
         Parameters
         ----------
         on_send : callable
-            Called as the request goes out, which may be long after this was called.
+            Called just before the request is sent, which may be long after the start
+            of this coroutine, as opening a connection takes time.
         """
         connection = self.take_idle(idempotent) or await self.connect()
         if connection is None:
@@ -111,7 +116,8 @@
         self.release(connection)
         seconds = clock.now() - started_at
         if isinstance(outcome, Unknown):
-            # A connection that idled for long may have been forgotten.
+            # An early reset means a full upstream only on a connection used lately; one
+            # that was idle for long may have been dropped for that reason.
             reset_limit = max(MIN_RESET_SECONDS, RESET_FRACTION * self.average_seconds)
             early = seconds < reset_limit and idle_seconds < FRESH_SECONDS
             silent = outcome.reason == CONNECTION_LOST and not connection.answering
@@ -121,9 +127,9 @@
         return self.classify(outcome, seconds)
 
     async def query_cold_seconds(self, path: str, deadline: float) -> float | None:
-        """Return the seconds for which the upstream stays cold by its health answer.
+        """Ask the health check for how many seconds the upstream stays cold.
 
-        None if it does not say.
+        Returns None if the upstream gives no answer or refuses the check.
         """
         connection = self.take_idle(idempotent=True) or await self.connect()
         if connection is None:
@@ -138,7 +144,7 @@
         return parse_milliseconds(find_header(outcome.headers, self.names.cold))
 
     def classify(self, answer: Answer, seconds: float) -> Outcome:
-        """Tell an answer from a refusal and from bytes that are not an answer."""
+        """Return the outcome of a call by the status and headers of its answer."""
         self.reported_load = parse_load(find_header(answer.headers, self.names.load))
         if find_header(answer.headers, self.names.not_run):
             return NotRun("upstream-refused", reached=True)
@@ -152,7 +158,10 @@
         return Answer(answer.status, end_to_end(answer.headers), answer.body, seconds)
 
     def take_idle(self, idempotent: bool) -> ClientConnection | None:
-        """Return the connection that was used last, if it may be used again."""
+        """Take the most recently used connection, None if this call may not reuse it.
+
+        Connections that no call may use any more are closed.
+        """
         now = clock.now()
         while self.idle:
             connection = self.idle[-1]
@@ -164,14 +173,17 @@
         return None
 
     async def connect(self) -> ClientConnection | None:
-        """Open a connection; None if the upstream does not accept one."""
+        """Open a connection; return None if that fails."""
         self.connects += 1
         return await open_connection(
             (self.host, self.port), self.names.call_id, self.deadlines
         )
 
     async def refuses_connections(self) -> bool:
-        """Return whether nobody accepts connections at the upstream."""
+        """Return whether the upstream actively refuses connections.
+
+        A connection that opens is kept for the next call.
+        """
         try:
             connection = await connect(
                 (self.host, self.port), self.names.call_id, self.deadlines
@@ -185,7 +197,7 @@
         return False
 
     def release(self, connection: ClientConnection) -> None:
-        """Keep a connection for the next call, or close it."""
+        """Return a connection to the idle ones, or close it if it cannot be reused."""
         if connection.tainted or connection.closed:
             connection.close()
             return
@@ -198,7 +210,7 @@
         self.idle.clear()
 
     def tick(self, now: float) -> None:
-        """Close connections that will not be used again."""
-        # The last used are last; the first is the first that is too old.
+        """Close idle connections that are too old to be reused."""
+        # Sorted by last use, the oldest first.
         while self.idle and not self.idle[0].usable(idempotent=True, now=now):
             self.idle.pop(0).close()
