--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -18,7 +18,7 @@
 from sequoiaspoke.sidecar.state import MeshState
 from sequoiaspoke.tests.evacuationsim import EvacuationWorld
 from sequoiaspoke.tests.spreadsim import EVACUATE, Items, play
-from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, HeldUpstream
+from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, BlockingUpstream
 
 SEEDS = range(16)
 # Evacuations of which nodes heard in another order than they were made.
@@ -184,7 +184,7 @@
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
-            directory, self.upstream = Directory(), HeldUpstream()
+            directory, self.upstream = Directory(), BlockingUpstream()
             directory.put(ENDPOINT, 5, clock.now())
             self.home = Home(self.upstream, directory, log)
             self.home.set_slots(2)
--- a/sequoiaspoke/tests/test_sidecar_home.py
+++ b/sequoiaspoke/tests/test_sidecar_home.py
@@ -1,4 +1,4 @@
-"""Tests of the node beside an upstream, with the upstream played."""
+"""Tests of the home of calls, with a simulated upstream."""
 
 import asyncio
 from dataclasses import replace
@@ -18,8 +18,8 @@
 ENDPOINT = Endpoint("i-1", "fleet", "10.0.0.1", 80, "akaki", 2)
 
 
-class HeldUpstream:
-    """Answers nothing until it is told to."""
+class BlockingUpstream:
+    """Answers calls only once its gate is opened."""
 
     reported_load = None
 
@@ -45,29 +45,33 @@
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
-            self.directory, self.upstream = Directory(), HeldUpstream()
+            self.directory, self.upstream = Directory(), BlockingUpstream()
             self.directory.put(ENDPOINT, 5, self.time)
             self.home = Home(self.upstream, self.directory, log)
             self.home.set_slots(2)
-            self.told = {}
+            self.outcomes = {}
             await scenario()
 
         asyncio.run(run())
 
     def submit(self, name):
         request = Request("GET", name, (), b"")
-        start = ENDPOINT.incarnation
-        call = HomeCall(request, start, "r", 0, True, self.time + 9, self.time + 30)
-        self.home.submit(name, call, lambda outcome: self.told.update({name: outcome}))
+        incarnation = ENDPOINT.incarnation
+        call = HomeCall(
+            request, incarnation, "r", 0, True, self.time + 9, self.time + 30
+        )
+        self.home.submit(
+            name, call, lambda outcome: self.outcomes.update({name: outcome})
+        )
 
     async def wait(self, seconds):
         self.time += seconds
         self.home.tick(self.time)
         await asyncio.sleep(0)
 
-    def test_calls_that_wait_for_it_are_refused_while_others_can_serve_them(self):
-        # An upstream with a queue reports that it leaves. What waits would reach it
-        # seconds later, when it is about to exit, and be broken off there.
+    def test_queued_calls_for_a_draining_upstream_are_refused(self):
+        # The end of a long queue would reach a draining upstream just before it exits,
+        # and be interrupted there. Refused in time, it can be served elsewhere.
         async def scenario():
             for number in range(5):
                 self.submit(str(number))
@@ -75,33 +79,33 @@
             self.assertEqual(self.upstream.ran, ["0", "1"])
             self.directory.put(replace(ENDPOINT, draining=True), 6, self.time)
             await self.wait(0.1)
-            self.assertEqual(self.told, {})
+            self.assertEqual(self.outcomes, {})
             await self.wait(LEAVING_QUEUE_SECONDS + 0.1)
-            self.assertEqual(set(self.told), {"2", "3", "4"})
+            self.assertEqual(set(self.outcomes), {"2", "3", "4"})
             expected = {(NotRun, "instance-left")}
-            found = {(type(each), each.reason) for each in self.told.values()}
+            found = {(type(each), each.reason) for each in self.outcomes.values()}
             self.assertEqual(found, expected)
             self.upstream.gate.set()
             await self.wait(0.1)
             await asyncio.sleep(0)
-            self.assertEqual(len(self.told), 5)
+            self.assertEqual(len(self.outcomes), 5)
             self.assertEqual(self.upstream.ran, ["0", "1"])
 
         self.play(scenario)
 
-    def test_calls_that_wait_for_one_that_stays_go_on_waiting(self):
+    def test_queued_calls_for_an_upstream_that_stays_are_kept(self):
         async def scenario():
             for number in range(5):
                 self.submit(str(number))
             await self.wait(LEAVING_QUEUE_SECONDS + 0.3)
             await self.wait(LEAVING_QUEUE_SECONDS + 0.3)
-            self.assertEqual(self.told, {})
+            self.assertEqual(self.outcomes, {})
 
         self.play(scenario)
 
 
-class DownUpstream(HeldUpstream):
-    """Accepts no connection while it is down."""
+class DownUpstream(BlockingUpstream):
+    """Refuses connections while it is down."""
 
     down = True
 
@@ -109,8 +113,8 @@
         return NotRun(UNREACHABLE) if self.down else Answer(200, (), b"")
 
 
-class DownLogTests(TestCase):
-    def test_an_upstream_that_ends_and_returns_is_logged_once_each(self):
+class OutageLogTests(TestCase):
+    def test_an_outage_and_its_end_are_logged_once_each(self):
         events = []
 
         async def scenario():
@@ -130,12 +134,12 @@
                 home.submit(number, call, lambda outcome: None)
                 await asyncio.sleep(0.01)
 
-        asyncio.run(run_briefly(scenario))
-        told = [kind for kind in events if kind.startswith("upstream-")]
-        self.assertEqual(told, ["upstream-down", "upstream-up"])
+        asyncio.run(run_with_timeout(scenario))
+        logged = [kind for kind in events if kind.startswith("upstream-")]
+        self.assertEqual(logged, ["upstream-down", "upstream-up"])
 
 
-async def run_briefly(scenario):
+async def run_with_timeout(scenario):
     async with asyncio.timeout(5):
         await scenario()
 
@@ -145,11 +149,11 @@
         headers = (("Host", host), ("X-Request-Id", call_id))
         return Request("GET", target, headers, body)
 
-    def test_repeats_of_a_request_have_one_fingerprint(self):
+    def test_retries_of_a_request_have_the_same_fingerprint(self):
         first = self.request("1").fingerprint
         self.assertEqual(first, self.request("2", host="A.example").fingerprint)
 
-    def test_other_requests_have_others(self):
+    def test_different_requests_have_different_fingerprints(self):
         others = (
             self.request(),
             self.request(host="b.example"),
--- a/sequoiaspoke/tests/test_sidecar_upstream.py
+++ b/sequoiaspoke/tests/test_sidecar_upstream.py
@@ -1,4 +1,4 @@
-"""Tests of calls to an upstream that misbehaves, over sockets of loopback."""
+"""Tests of calls to a faulty upstream over loopback sockets."""
 
 import asyncio
 import socket
@@ -11,24 +11,25 @@
 from sequoiaspoke.sidecar.names import HeaderNames
 from sequoiaspoke.sidecar.upstream import Upstream
 
-WAIT = 20.0  # seconds; only a failing test waits so long
+TIMEOUT = 20.0  # seconds; only a failing test takes so long
 STAMP = "X-Upstream-Stamp: s\r\n"
 
 
 def answer(call_id, body="ok", status=200, headers=STAMP):
-    """Return the bytes of an upstream's answer."""
+    """Return the bytes of an answer."""
     head = f"HTTP/1.1 {status} x\r\nX-Request-Id: {call_id}\r\n{headers}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
 class RawUpstream:
-    """Answers the calls of each connection with the bytes that the test gives.
+    """Answers calls with bytes that the test supplies.
 
     Attributes
     ----------
     replies : list
-        For each call a list of pieces; None resets the connection, ... closes it, and
-        a number waits so many seconds.
+        For each call a list of pieces to send. None resets the connection, an ellipsis
+        closes it, and a number is a delay in seconds. If the first piece is "early",
+        the answer is sent before the body of the request is read.
     """
 
     def __init__(self, replies):
@@ -68,13 +69,13 @@
                     else:
                         writer.write(piece)
         except (asyncio.IncompleteReadError, ConnectionError):
-            # The node has closed the connection.
+            # The client has closed the connection.
             writer.close()
 
 
 class UpstreamTests(TestCase):
     def play(self, *replies, bodies=None):
-        """Make a call for each reply in turn and return what came of each."""
+        """Make a call for each reply in turn and return the outcomes."""
 
         async def run():
             self.raw = RawUpstream([list(reply) for reply in replies])
@@ -82,7 +83,7 @@
             port = server.sockets[0].getsockname()[1]
             self.upstream = Upstream("127.0.0.1", port, HeaderNames())
             outcomes = []
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT):
                 for number in range(len(replies)):
                     body = bodies[number] if bodies else b""
                     request = Request(
@@ -92,7 +93,7 @@
                         await self.upstream.call(
                             request,
                             "i-1",
-                            clock.now() + WAIT,
+                            clock.now() + TIMEOUT,
                             idempotent=True,
                             on_send=lambda: None,
                         )
@@ -102,60 +103,60 @@
             server.close()
             for writer in self.raw.writers:
                 writer.transport.abort()
-            # The loop takes two turns to let the connections go.
+            # The event loop needs two iterations to close the connections.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             return outcomes
 
         return asyncio.run(run())
 
-    def test_connections_are_used_again(self):
+    def test_connections_are_reused(self):
         outcomes = self.play([answer("c0")], [answer("c1")])
         self.assertEqual([each.body for each in outcomes], [b"ok", b"ok"])
         self.assertEqual(self.raw.connections, 1)
         self.assertIn("x-instance: i-1", self.raw.requests[0])
 
-    def test_an_answer_cut_short_is_not_an_answer(self):
-        # The upstream says 10 bytes, sends 3 and is gone. Handed on, a caller would
-        # take a part for the whole.
+    def test_a_truncated_answer_is_an_unknown_outcome(self):
+        # The upstream announces 10 bytes, sends 3 and closes the connection. The caller
+        # could not tell the part from a complete answer.
         cut = answer("c0", "0123456789")[:-7]
         (outcome,) = self.play([cut, ...])
         self.assertEqual(outcome, Unknown("connection-lost"))
 
-    def test_an_answer_without_a_length_ends_with_its_connection(self):
+    def test_an_answer_without_a_length_ends_with_the_connection(self):
         text = f"HTTP/1.1 200 x\r\nX-Request-Id: c0\r\n{STAMP}\r\nall of it".encode()
         (outcome,) = self.play([text, ...])
         self.assertEqual(outcome.body, b"all of it")
 
-    def test_an_answer_without_a_length_that_is_reset_is_not_complete(self):
+    def test_an_answer_without_a_length_that_is_reset_is_incomplete(self):
         text = f"HTTP/1.1 200 x\r\nX-Request-Id: c0\r\n{STAMP}\r\na part".encode()
         (outcome,) = self.play([text, 0.1, None])
         self.assertIsInstance(outcome, Unknown)
 
-    def test_a_second_answer_is_never_taken_for_the_next_call(self):
-        # The upstream answers twice, at once or when the next call is under way. The
-        # next caller would get the other's page.
+    def test_a_second_answer_is_not_used_for_the_next_call(self):
+        # The upstream answers one call twice. If the next call on this connection
+        # got the second answer, its caller would see the wrong page.
         twice = answer("c0") + answer("c0", "again")
         first, second = self.play([twice], [answer("c1", "mine")])
         self.assertEqual((first.body, second.body), (b"ok", b"mine"))
         self.assertEqual(self.raw.connections, 2)
 
-    def test_a_late_second_answer_is_skipped(self):
+    def test_a_late_second_answer_is_skipped_by_its_call_id(self):
         late = answer("c0", "again") + answer("c1", "mine")
         _, second = self.play([answer("c0")], [late])
         self.assertEqual(second.body, b"mine")
 
-    def test_bytes_that_are_no_answer_are_not_handed_on(self):
+    def test_malformed_answers_are_not_forwarded(self):
         (outcome,) = self.play([b"\x00garbage\r\n\r\n"])
         self.assertEqual(outcome, Unknown("answer-malformed"))
 
-    def test_a_success_without_a_stamp_is_not_the_upstreams(self):
+    def test_a_success_without_a_stamp_is_an_unknown_outcome(self):
         (outcome,) = self.play([answer("c0", headers="")])
         self.assertEqual(outcome, Unknown("answer-unstamped"))
 
-    def test_an_answer_before_the_request_is_out_ends_the_connection(self):
-        # The upstream refuses a long call before it has read it. Kept, the connection
-        # would carry the next call behind the rest of that body.
+    def test_an_answer_before_the_end_of_the_request_closes_the_connection(self):
+        # The upstream refuses a request before it has read the body. On a reused
+        # connection the next call would follow the rest of that body.
         body = b"x" * (8 << 20)
         outcomes = self.play(
             ["early", answer("c0", status=413), 0.2, ...],
@@ -165,7 +166,7 @@
         self.assertEqual(outcomes[1].status, 200)
         self.assertEqual(self.raw.connections, 2)
 
-    def test_what_the_upstream_did_not_run_is_told_as_not_run(self):
+    def test_refusals_of_the_upstream_are_reported_as_not_run(self):
         shed = answer("c0", status=503, headers="X-Not-Run: 1\r\n")
         replaced = answer("c1", status=421, headers="")
         outcomes = self.play([shed], [replaced])
@@ -177,27 +178,27 @@
             ],
         )
 
-    def test_a_reset_well_before_a_usual_answer_is_a_full_upstream(self):
-        # A full upstream resets a call at once, and the node sees it late as its VM is
-        # busy. Taken for a lost answer, orders go on being sent to be reset; whether
-        # they ran nobody could tell.
+    def test_a_reset_well_before_the_average_time_means_a_full_upstream(self):
+        # A full upstream resets new calls at once; on a busy VM the node notices it a
+        # little later. If it took the reset for a lost answer, it would keep sending
+        # calls that are not idempotent, each with an unknown outcome.
         slow = [0.4, answer("c0")]
         _, early = self.play(slow, [0.05, None])
         self.assertEqual(early, Unknown("reset-at-once"))
         _, late = self.play(slow, [0.3, None])
         self.assertEqual(late, Unknown("connection-lost"))
 
-    def test_a_failure_of_the_upstream_is_handed_on(self):
+    def test_a_server_error_of_the_upstream_is_forwarded(self):
         (outcome,) = self.play([answer("c0", status=500)])
         self.assertIsInstance(outcome, Answer)
         self.assertEqual(outcome.status, 500)
 
-    def test_a_connection_that_the_upstream_closes_is_not_used_again(self):
+    def test_a_connection_that_the_upstream_closes_is_not_reused(self):
         closing = answer("c0", headers=STAMP + "Connection: close\r\n")
         self.play([closing, ...], [answer("c1")])
         self.assertEqual(self.raw.connections, 2)
 
-    def test_an_upstream_that_does_not_listen_has_not_run_the_call(self):
+    def test_a_call_to_an_upstream_that_does_not_listen_has_not_run(self):
         async def run():
             upstream = Upstream("127.0.0.1", 1, HeaderNames())
             request = Request("GET", "/a", (), b"")
