--- a/sequoiaspoke/sidecar/liveness.py
+++ b/sequoiaspoke/sidecar/liveness.py
@@ -19,7 +19,7 @@
 
 
 class LivenessWait:
-    """The calls on one link that wait for a sign of life of the home.
+    """The calls on one link that wait until the home has proved to be alive.
 
     Attributes
     ----------
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -27,9 +27,9 @@
 
 
 # A connection that is reset within this fraction of the average call time was refused
-# by a full upstream. A call that ran takes the time of its work, which few calls do in
-# less than a quarter of the average. The limit is at least MIN_RESET_SECONDS, the time
-# that a busy VM may need to notice a reset.
+# by a full upstream. A call that ran takes the time of its work, which is less than a
+# quarter of the average for few calls. The limit is at least MIN_RESET_SECONDS, which a
+# busy VM may need to notice a reset.
 RESET_FRACTION, MIN_RESET_SECONDS = 0.25, 0.02
 # Reason of the outcome if no connection could be opened.
 UNREACHABLE = "upstream-unreachable"
