--- a/sequoiaspoke/sidecar/suspicion.py
+++ b/sequoiaspoke/sidecar/crashguard.py
@@ -1,4 +1,4 @@
-"""What a node knows of requests that crash upstreams, for its entry and its home."""
+"""Track requests suspected of crashing upstreams, for the entry and home of a node."""
 
 from __future__ import annotations
 
@@ -14,83 +14,84 @@
     from sequoiaspoke.core.mesh.directory import Directory
     from sequoiaspoke.core.mesh.model import Incarnation
     from sequoiaspoke.core.mesh.outcome import Request
-    from sequoiaspoke.sidecar.crashwatch import Sent
+    from sequoiaspoke.sidecar.crashdetector import SentCall
     from sequoiaspoke.sidecar.logs import EventLog
 
 
-def ignore_news(crashes: list[Crash]) -> None:
-    """Do nothing; until somebody tells the news to others."""
+def ignore_reports(crashes: list[Crash]) -> None:
+    """Do nothing; default until crash reports are sent to other nodes."""
 
 
 def ignore_change() -> None:
-    """Do nothing; until a home keeps suspects apart."""
+    """Do nothing; default until a home isolates suspects."""
 
 
-class Suspicion:
-    """Learns of crashes, clears what is answered and logs both.
+class CrashGuard:
+    """Records crashes, clears answered requests, and logs both.
 
     Attributes
     ----------
-    on_news : callable
-        Told what this node has found out and others have to know.
+    on_reports : callable
+        Called with crash reports that other nodes must receive.
     on_change : callable
-        Called when other requests are suspected or held back than before.
+        Called when the set of suspected or quarantined requests has changed.
     """
 
     def __init__(self, directory: Directory, log: EventLog) -> None:
         self.directory = directory
         self.log = log
         self.quarantine = Quarantine()
-        self.on_news: Callable[[list[Crash]], None] = ignore_news
+        self.on_reports: Callable[[list[Crash]], None] = ignore_reports
         self.on_change: Callable[[], None] = ignore_change
 
-    def service_of(self, start: Incarnation) -> str:
-        """Return the service of an upstream, empty if it leaves or is not known.
+    def service_of(self, incarnation: Incarnation) -> str:
+        """Return the service of an upstream, empty if it is draining or unknown.
 
-        One that leaves by plan ends with what still runs there; no request is to blame.
+        A draining upstream exits even if calls still run there, so that no request may
+        be suspected for it.
         """
-        held = self.directory.records.get(start.instance)
-        if held is None or self.directory.is_leaving(start):
+        held = self.directory.records.get(incarnation.instance)
+        if held is None or self.directory.is_leaving(incarnation):
             return ""
         return held.endpoint.service
 
     def suspected(self, service: str, request: Request) -> bool:
-        """Return whether a request may run only apart from other suspects."""
+        """Return whether a request is a suspect and may not run beside others."""
         if self.quarantine.empty:
             return False
         return self.quarantine.is_suspect(service, request.fingerprint)
 
-    def suspected_at(self, start: Incarnation, request: Request) -> bool:
-        """Return the same for a request that was sent to an upstream."""
+    def suspected_at(self, incarnation: Incarnation, request: Request) -> bool:
+        """Return whether a request is suspected at the service of an upstream."""
         if self.quarantine.empty:
             return False
-        return self.suspected(self.service_of(start), request)
+        return self.suspected(self.service_of(incarnation), request)
 
     def held_seconds(self, service: str, request: Request) -> float:
-        """Return for how much longer a request is held back, 0 if it may run."""
+        """Return the seconds of quarantine left for a request, 0 if it may run."""
         if self.quarantine.empty:
             return 0.0
         now = clock.now()
         return self.quarantine.held_seconds(service, request.fingerprint, now)
 
-    def held_seconds_at(self, start: Incarnation, request: Request) -> float:
-        """Return the same for a request that was sent to an upstream."""
+    def held_seconds_at(self, incarnation: Incarnation, request: Request) -> float:
+        """Return the seconds of quarantine left at the service of an upstream."""
         if self.quarantine.empty:
             return 0.0
-        return self.held_seconds(self.service_of(start), request)
+        return self.held_seconds(self.service_of(incarnation), request)
 
-    def learn(self, crashes: Iterable[Crash]) -> list[Crash]:
-        """Take reports of crashes; return those that are news."""
+    def record_reports(self, crashes: Iterable[Crash]) -> list[Crash]:
+        """Record crash reports; return those that changed what this node knows."""
         now = clock.now()
-        taken = [self.quarantine.add(crash, now) for crash in crashes]
-        news = [crash for crash in taken if crash is not None]
-        if news:
-            self.log_held(news)
+        merged = [self.quarantine.add(crash, now) for crash in crashes]
+        changed = [crash for crash in merged if crash is not None]
+        if changed:
+            self.log_quarantined(changed)
             self.on_change()
-        return news
+        return changed
 
-    def report(self, crash: Crash, calls: list[Sent]) -> None:
-        """Take a crash of the upstream beside this node."""
+    def report(self, crash: Crash, calls: list[SentCall]) -> None:
+        """Log, record and publish a crash of the upstream beside this node."""
         self.log.event(
             "upstream-crashed",
             instance=crash.instance,
@@ -107,20 +108,20 @@
                 instance=crash.instance,
                 before=call.suspected,
             )
-        self.on_news(self.learn([crash]))
+        self.on_reports(self.record_reports([crash]))
 
-    def answered(self, start: Incarnation, request: Request) -> None:
-        """Clear a request that an upstream has answered."""
-        if not self.suspected_at(start, request):
+    def answered(self, incarnation: Incarnation, request: Request) -> None:
+        """Clear a suspected request that an upstream has answered."""
+        if not self.suspected_at(incarnation, request):
             return
-        service = self.service_of(start)
+        service = self.service_of(incarnation)
         cleared = self.quarantine.clear(service, request.fingerprint)
         self.log.request("call-cleared", request, crashes=len(cleared))
         self.on_change()
-        self.on_news(cleared)
+        self.on_reports(cleared)
 
     def release(self, fingerprint: str) -> bool:
-        """Let go of a request at all nodes; return whether it was suspected."""
+        """Clear a request at all nodes; return whether it was suspected."""
         released = self.quarantine.release(fingerprint)
         if not released:
             return False
@@ -128,13 +129,13 @@
             "request-released", fingerprint=fingerprint, crashes=len(released)
         )
         self.on_change()
-        self.on_news(released)
+        self.on_reports(released)
         return True
 
-    def log_held(self, news: list[Crash]) -> None:
-        """Log which requests are held back from now on."""
+    def log_quarantined(self, changed: list[Crash]) -> None:
+        """Log the requests that are in quarantine from now on."""
         now = clock.now()
-        for crash in news:
+        for crash in changed:
             for fingerprint in sorted(crash.uncleared_proven):
                 known = self.quarantine.crashes.for_request(crash.service, fingerprint)
                 seconds = self.quarantine.held_seconds(crash.service, fingerprint, now)
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -1,4 +1,7 @@
-"""Run calls at the upstream beside this node: the only way to it."""
+"""Run calls at the upstream beside this node.
+
+Every call to the upstream goes through its home.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +23,11 @@
 from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.core.mesh.slots import SETTLE_SECONDS
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.coldwatch import ColdWatch
-from sequoiaspoke.sidecar.crashwatch import CrashWatch, Sent
-from sequoiaspoke.sidecar.downwatch import DownWatch
+from sequoiaspoke.sidecar.coldmonitor import ColdMonitor
+from sequoiaspoke.sidecar.crashdetector import CrashDetector, SentCall
+from sequoiaspoke.sidecar.crashguard import CrashGuard
 from sequoiaspoke.sidecar.homecall import Running
-from sequoiaspoke.sidecar.suspicion import Suspicion
+from sequoiaspoke.sidecar.outagelog import OutageLog
 from sequoiaspoke.sidecar.upstream import UNREACHABLE
 
 if TYPE_CHECKING:
@@ -38,71 +41,77 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.upstream import Upstream
 
-# Slots of an upstream that the platform has not told yet; every one has one.
-UNKNOWN_SLOTS = 1
-# Retry-After of a node that is about to stop, in seconds.
-LEAVING_SECONDS = 0.3
-# Retry-After of a node whose zone is evacuated, in seconds; a caller gets it only if no
-# other zone has served its call.
-EVACUATED_SECONDS = 0.3
+# Slots assumed until the platform publishes a number; every upstream has at least one.
+INITIAL_SLOTS = 1
+# Retry-After, in seconds, of refusals by a node that is about to stop.
+LEAVING_RETRY_AFTER = 0.3
+# Retry-After, in seconds, of refusals by a node whose zone is evacuated. A caller gets
+# it only if no other zone has served its call.
+EVACUATED_RETRY_AFTER = 0.3
 
 
 class Home:
-    """Admits calls, runs them and remembers what came of them.
+    """Admits calls to the upstream, runs them and records their outcomes.
 
     Attributes
     ----------
     leaving : bool
-        Whether this node is about to stop and takes no new calls.
+        Whether this node is about to stop and refuses new calls.
     evacuated : bool
-        Whether this zone is evacuated and the upstream gets no new calls.
+        Whether the zone is evacuated and new calls are refused.
+    evacuation_ended_at : int
+        Revision of the store at which the last known evacuation of the zone ended.
     incarnation : Incarnation or None
-        The start of the upstream, as the platform last told it.
-    load : Load or None
-        What the upstream told of itself with the last outcome, for the log.
+        Current incarnation of the upstream, as last published by the platform.
+    last_load : Load or None
+        Load that the upstream reported with the last outcome, for the log.
     """
 
     def __init__(self, upstream: Upstream, directory: Directory, log: EventLog) -> None:
         self.upstream = upstream
         self.directory = directory
         self.log = log
-        self.admission = Admission(UNKNOWN_SLOTS)
+        self.admission = Admission(INITIAL_SLOTS)
         self.ledger = Ledger()
         self.calls: dict[Hashable, Running] = {}
         self.leaving = False
         self.evacuated = False
-        self.taken_back_at = 0
+        self.evacuation_ended_at = 0
         cold_start = self.admission.cold_start
-        self.cold_watch = ColdWatch(cold_start, upstream, log, self.advance)
-        self.suspicion = Suspicion(directory, log)
-        self.suspicion.on_change = self.separate_suspects
-        self.crash_watch = CrashWatch(
-            lambda: self.upstream.refuses(),
-            self.suspicion.service_of,
-            self.suspicion.report,
+        self.cold_monitor = ColdMonitor(cold_start, upstream, log, self.dispatch)
+        self.crash_guard = CrashGuard(directory, log)
+        self.crash_guard.on_change = self.apply_quarantine
+        self.crash_detector = CrashDetector(
+            lambda: self.upstream.refuses_connections(),
+            self.crash_guard.service_of,
+            self.crash_guard.report,
         )
         self.incarnation: Incarnation | None = None
-        self.load: Load | None = None
-        self.down_watch = DownWatch(log)
+        self.last_load: Load | None = None
+        self.outage_log = OutageLog(log)
         self.leavers = LeavingUpstreams(directory.is_leaving)
         self.counts: Counter[str] = Counter()
 
     def submit(
-        self, key: Hashable, call: HomeCall, tell: Callable[[Outcome], None]
+        self, key: Hashable, call: HomeCall, on_outcome: Callable[[Outcome], None]
     ) -> None:
-        """Take a call, new or asked for again, and tell its outcome once."""
+        """Accept a call and report its outcome once.
+
+        A key that is known already is not run again: its stored outcome is reported, or
+        `on_outcome` replaces the callback of the running call.
+        """
         known = self.ledger.find(key)
         if known is not None:
             self.counts["asked-again"] += 1
             running = self.calls.get(key)
             if running is not None:
-                running.tell = tell
+                running.tell = on_outcome
             else:
-                tell(known.outcome or Unknown("answer-forgotten"))
+                on_outcome(known.outcome or Unknown("answer-forgotten"))
             return
-        refusal = self.unwanted(call)
+        refusal = self.find_refusal(call)
         if refusal is not None:
-            tell(refusal)
+            on_outcome(refusal)
             return
         now = clock.now()
         arrival = Arrival(
@@ -118,46 +127,52 @@
         refused = self.admission.arrive(arrival, now)
         if refused is not None and refused.arrival is arrival:
             self.admission.suspects.discard(key)
-            self.turned_away(refused, call)
-            tell(NotRun(refused.reason, refused.retry_after))
+            self.record_refusal(refused, call)
+            on_outcome(NotRun(refused.reason, refused.retry_after))
             return
         self.ledger.begin(key)
-        self.calls[key] = Running(call, tell)
+        self.calls[key] = Running(call, on_outcome)
         if refused is not None:
-            self.give_up(refused)
-        self.advance()
+            self.refuse(refused)
+        self.dispatch()
 
     def expect_earlier_calls(self) -> None:
-        """Reckon with calls that a process before this one sent to the upstream."""
+        """Allow for calls that a previous process of this node sent to the upstream.
+
+        They may still run there, and the upstream may be cold.
+        """
         self.admission.upstream.heard = False
         self.admission.cold_start.expect_earlier_calls(clock.STARTED)
-        self.cold_watch.doubt(clock.STARTED)
+        self.cold_monitor.assume_cold(clock.STARTED)
 
-    def unwanted(self, call: HomeCall) -> NotRun | None:
-        """Return why no call may be taken now, whatever the load."""
+    def find_refusal(self, call: HomeCall) -> NotRun | None:
+        """Return why a call is refused regardless of load, None if it is not."""
         if self.leaving:
-            return NotRun(Turned.LEAVING, LEAVING_SECONDS)
+            return NotRun(Turned.LEAVING, LEAVING_RETRY_AFTER)
         if self.evacuated:
             self.counts[Turned.ZONE_EVACUATED] += 1
-            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_SECONDS)
+            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
         if self.directory.is_leaving(call.incarnation):
             return NotRun(Turned.INSTANCE_LEFT)
-        held = self.held_seconds(call)
-        if held:
+        seconds = self.held_seconds(call)
+        if seconds:
             self.counts[Turned.HELD_BACK] += 1
-            return NotRun(Turned.HELD_BACK, held)
+            return NotRun(Turned.HELD_BACK, seconds)
         return None
 
     def suspected(self, call: HomeCall) -> bool:
-        """Return whether a call's request may have crashed an upstream."""
-        return self.suspicion.suspected_at(call.incarnation, call.request)
+        """Return whether a call's request is suspected of crashing an upstream."""
+        return self.crash_guard.suspected_at(call.incarnation, call.request)
 
     def held_seconds(self, call: HomeCall) -> float:
-        """Return for how much longer a call's request is held back."""
-        return self.suspicion.held_seconds_at(call.incarnation, call.request)
+        """Return the seconds for which a call's request stays in quarantine."""
+        return self.crash_guard.held_seconds_at(call.incarnation, call.request)
 
-    def separate_suspects(self) -> None:
-        """Refuse what waits and is held back now, and let no two suspects run."""
+    def apply_quarantine(self) -> None:
+        """Refuse queued calls that are now in quarantine, and update the suspects.
+
+        Admission runs no two suspects at the same time.
+        """
         self.admission.suspects = {
             key for key, running in self.calls.items() if self.suspected(running.call)
         }
@@ -165,20 +180,20 @@
             seconds = self.held_seconds(self.calls[arrival.ticket].call)
             if seconds:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.HELD_BACK, seconds))
-        self.advance()
+                self.refuse(Refused(arrival, Turned.HELD_BACK, seconds))
+        self.dispatch()
 
-    def advance(self) -> None:
-        """Hand over as many calls as there are slots."""
+    def dispatch(self) -> None:
+        """Start queued calls while there are free slots."""
         while True:
             arrival, late = self.admission.next(clock.now())
             for refused in late:
-                self.give_up(refused)
+                self.refuse(refused)
             if arrival is None:
                 return
             running = self.calls[arrival.ticket]
             running.task = asyncio.ensure_future(self.run(arrival.ticket, running))
-            running.task.add_done_callback(partial(self.ended, arrival.ticket))
+            running.task.add_done_callback(partial(self.task_ended, arrival.ticket))
 
     async def run(self, key: Hashable, running: Running) -> None:
         """Run a call at the upstream."""
@@ -190,61 +205,64 @@
                 call.incarnation.instance,
                 call.deadline,
                 call.idempotent,
-                partial(self.sent, key, call),
+                partial(self.record_sent, key, call),
             )
-            outcome = await self.crash_watch.judge(key, outcome)
-            self.take_load(outcome)
+            outcome = await self.crash_detector.classify(key, outcome)
+            self.apply_load(outcome)
             if isinstance(outcome, Answer):
-                self.suspicion.answered(call.incarnation, call.request)
+                self.crash_guard.answered(call.incarnation, call.request)
         finally:
-            self.crash_watch.end(key)
+            self.crash_detector.call_ended(key)
             if outcome is None:
                 self.abandon(key)
                 self.finish(key, Unknown("cancelled"))
             else:
-                self.free(key, isinstance(outcome, Answer))
+                self.free_slot(key, isinstance(outcome, Answer))
                 self.finish(key, outcome)
 
-    def sent(self, key: Hashable, call: HomeCall) -> None:
-        """Note that a call goes out to the upstream."""
+    def record_sent(self, key: Hashable, call: HomeCall) -> None:
+        """Record that a call is being sent to the upstream."""
         self.admission.send(key, clock.now())
-        sent = Sent(call.request, call.incarnation, self.suspected(call))
-        self.crash_watch.send(key, sent)
+        sent = SentCall(call.request, call.incarnation, self.suspected(call))
+        self.crash_detector.call_sent(key, sent)
 
-    def ended(self, key: Hashable, task: asyncio.Task[None]) -> None:  # noqa: ARG002
-        """Give a call up that was cancelled before its task began and ran nothing."""
+    def task_ended(self, key: Hashable, task: asyncio.Task[None]) -> None:  # noqa: ARG002
+        """Finish a call whose task was cancelled before it started."""
         if key in self.calls:
             self.abandon(key)
             self.finish(key, Unknown("cancelled"))
 
-    def take_load(self, outcome: Outcome) -> None:
-        """Take the upstream's word on its load, or what its silence tells of it."""
-        load, self.upstream.told_load = self.upstream.told_load, None
-        self.load = load
+    def apply_load(self, outcome: Outcome) -> None:
+        """Update admission from the reported load, or from the kind of failure."""
+        load, self.upstream.reported_load = self.upstream.reported_load, None
+        self.last_load = load
         now = clock.now()
-        self.down_watch.take(outcome, now)
+        self.outage_log.record(outcome, now)
         if isinstance(outcome, Answer):
             self.admission.answered(load, now)
         elif isinstance(outcome, NotRun) and outcome.reached:
             self.admission.refused_by_upstream(load, now)
         elif outcome.reason in (UNREACHABLE, UPSTREAM_CRASHED):
-            # It may be starting anew, and cold when it can be reached again.
-            self.cold_watch.doubt(now)
+            # The upstream may be restarting, and is then cold once it is reachable.
+            self.cold_monitor.assume_cold(now)
         elif isinstance(outcome, Unknown) and outcome.reason == RESET_AT_ONCE:
             self.admission.turned_away(now)
 
-    def free(self, key: Hashable, answered: bool) -> None:
-        """Give the slot of a call to the next."""
+    def free_slot(self, key: Hashable, answered: bool) -> None:
+        """Release a call's slot and start the next call."""
         self.admission.finish(key, answered, clock.now())
-        self.advance()
+        self.dispatch()
 
     def abandon(self, key: Hashable) -> None:
-        """Give the slot of a cancelled call to the next once it is free."""
+        """Release the slot of a cancelled call.
+
+        The upstream may work on for a moment, so queued calls start only after that.
+        """
         self.admission.abandon(key, clock.now())
-        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.advance)
+        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.dispatch)
 
     def finish(self, key: Hashable, outcome: Outcome) -> None:
-        """Remember an outcome and tell it."""
+        """Store a call's outcome and report it."""
         running = self.calls.pop(key)
         self.admission.suspects.discard(key)
         size = len(outcome.body) if isinstance(outcome, Answer) else 0
@@ -259,18 +277,18 @@
                 reason=outcome.reason,
                 running=self.admission.running,
                 waiting=self.admission.waiting,
-                load=str(self.load) if self.load else "untold",
+                load=str(self.last_load) if self.last_load else "untold",
             )
         if not running.dropped:
             running.tell(outcome)
 
-    def give_up(self, refused: Refused) -> None:
-        """Refuse a call that has waited for nothing."""
+    def refuse(self, refused: Refused) -> None:
+        """Refuse a call that was accepted but has not started."""
         key = refused.arrival.ticket
-        self.turned_away(refused, self.calls[key].call)
+        self.record_refusal(refused, self.calls[key].call)
         self.finish(key, NotRun(refused.reason, refused.retry_after))
 
-    def turned_away(self, refused: Refused, call: HomeCall) -> None:
+    def record_refusal(self, refused: Refused, call: HomeCall) -> None:
         """Count and log a refusal."""
         self.counts[refused.reason] += 1
         self.log.call(
@@ -284,15 +302,15 @@
             left=f"{refused.arrival.deadline - clock.now():.3f}",
         )
 
-    def news(self, route: str = "", rank: int = 0) -> News:
-        """Return what entries are told of the upstream's load.
+    def load_report(self, route: str = "", rank: int = 0) -> News:
+        """Return the load report that is sent to entries.
 
         Parameters
         ----------
         route : str
-            Route of the call with whose answer this goes, empty for none.
+            Route of the call whose answer carries the report, empty for none.
         rank : int
-            Its priority.
+            Rank of that call in the queue.
         """
         now = clock.now()
         durations = self.admission.durations
@@ -305,10 +323,10 @@
         )
 
     def cancel(self, key: Hashable) -> None:
-        """Drop a call whose caller has left.
+        """Cancel a call whose caller has gone.
 
-        One that may run once only and has begun goes on: breaking it off would leave
-        its effect in doubt.
+        A running call that is not idempotent continues, as it would be unknown whether
+        an interrupted one took effect.
         """
         running = self.calls.get(key)
         if running is None:
@@ -321,76 +339,79 @@
             running.task.cancel()
 
     def tick(self, now: float) -> None:
-        """Give up on what has waited too long."""
+        """Expire old outcomes and connections, and refuse overdue calls."""
         self.ledger.expire(now)
         self.upstream.tick(now)
-        self.cold_watch.ask_if_due(now)
+        self.cold_monitor.probe_if_due(now)
         if not self.admission.waiting:
             self.leavers.clear()
             return
         for refused in self.admission.overdue(now):
-            self.give_up(refused)
-        self.empty_queue_of_leaver(now)
-        self.advance()
+            self.refuse(refused)
+        self.refuse_calls_to_leaving(now)
+        self.dispatch()
 
-    def empty_queue_of_leaver(self, now: float) -> None:
-        """Refuse what still waits for an upstream that has been leaving for a while.
+    def refuse_calls_to_leaving(self, now: float) -> None:
+        """Refuse queued calls for an upstream that has been draining for some time.
 
-        A long queue would otherwise reach it when it is about to exit, and its calls
-        would be broken off; now they can still go elsewhere.
+        The end of a long queue would otherwise reach the upstream just before it exits
+        and be interrupted. Refused now, the calls can still be served elsewhere.
         """
         waiting = list(self.admission.queue.values())
-        starts = {self.calls[each.ticket].call.incarnation for each in waiting}
-        gone = self.leavers.overdue(starts, now)
+        incarnations = {self.calls[each.ticket].call.incarnation for each in waiting}
+        overdue = self.leavers.overdue(incarnations, now)
         for arrival in waiting:
-            if self.calls[arrival.ticket].call.incarnation in gone:
+            if self.calls[arrival.ticket].call.incarnation in overdue:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_SECONDS))
+                self.refuse(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_RETRY_AFTER))
 
-    def evacuate(self, evacuated: bool, ended_at: int) -> None:
-        """Send nothing to the upstream while its zone is evacuated.
+    def set_evacuated(self, evacuated: bool, ended_at: int) -> None:
+        """Set whether the zone is evacuated; while it is, the upstream gets no calls.
 
         Parameters
         ----------
         ended_at : int
-            Revision of the store at which the zone was last taken back.
+            Revision of the store at which the last evacuation of the zone ended.
         """
-        before, self.evacuated = self.evacuated, evacuated
-        self.cold_watch.held_back = evacuated
-        taken_back, self.taken_back_at = ended_at > self.taken_back_at, ended_at
+        was_evacuated, self.evacuated = self.evacuated, evacuated
+        self.cold_monitor.paused = evacuated
+        ended, self.evacuation_ended_at = ended_at > self.evacuation_ended_at, ended_at
         now = clock.now()
-        if evacuated and not before:
-            # This node may be the first of all to know. What waits here would reach
-            # the upstream; refused now, it can still be served in another zone.
+        if evacuated and not was_evacuated:
+            # Entries may not know of the evacuation yet. Queued calls are refused so
+            # that they can still be served in another zone.
             for arrival in list(self.admission.queue.values()):
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_SECONDS))
-        elif taken_back:
-            # Maybe this node never heard that it was empty, for it was only a moment.
-            self.cold_watch.doubt(now)
-
-    def take_endpoint(self, endpoint: Endpoint) -> None:
-        """Take what the platform says of the upstream beside this node."""
-        before, self.incarnation = self.incarnation, endpoint.incarnation
-        self.down_watch.instance = endpoint.instance
-        if before is not None and before != endpoint.incarnation:
+                self.refuse(
+                    Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
+                )
+        elif ended:
+            # The evacuation may have been too short for this node to see its start.
+            self.cold_monitor.assume_cold(now)
+
+    def update_endpoint(self, endpoint: Endpoint) -> None:
+        """Apply what the platform publishes of the upstream beside this node."""
+        previous, self.incarnation = self.incarnation, endpoint.incarnation
+        self.outage_log.instance = endpoint.instance
+        if previous is not None and previous != endpoint.incarnation:
             self.log.event(
                 "upstream-restarted",
                 instance=endpoint.instance,
                 born=endpoint.born,
-                before=before.instance,
+                before=previous.instance,
             )
-            # What was measured is of the start before, and a kept connection leads to
-            # a process that is gone: an order sent on it would be lost to its reset.
+            # Measurements belong to the previous incarnation. Idle connections lead to
+            # a process that has ended: a call that is not idempotent, sent on one and
+            # reset, would have an unknown outcome.
             self.admission.restarted()
-            self.upstream.forget_connections()
+            self.upstream.close_idle_connections()
         held = self.directory.records.get(endpoint.instance)
         if held is not None:
-            self.cold_watch.take_entry(held)
+            self.cold_monitor.update_from_endpoint(held)
         if endpoint.slots != self.admission.upstream.published:
-            self.take_slots(endpoint.slots)
+            self.set_slots(endpoint.slots)
 
-    def take_slots(self, slots: int) -> None:
-        """Take the platform's word on how many calls the upstream runs at once."""
+    def set_slots(self, slots: int) -> None:
+        """Set the number of calls that the upstream runs at once."""
         self.admission.upstream.published = slots
-        self.advance()
+        self.dispatch()
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -15,8 +15,8 @@
 from sequoiaspoke.core.mesh.outcome import NotRun, Unknown
 from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.pending import Pending
-from sequoiaspoke.sidecar.signs import SignWait
+from sequoiaspoke.sidecar.liveness import LivenessWait
+from sequoiaspoke.sidecar.pending import PendingCall
 from sequoiaspoke.sidecar.wirecalls import pack_call, unpack_load_report, unpack_outcome
 from sequoiaspoke.wire.gen.meshlink import ttypes as wire
 
@@ -81,7 +81,7 @@
         self.identity = identity
         self.gossip = gossip
         self.log = log
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingCall] = {}
         self.stream: FrameStream | None = None
         self.established = False
         self.persistent = False
@@ -95,7 +95,7 @@
         self.last_pinged = 0.0
         self.clock_offset = 0.0
         self.round_trip = float("inf")
-        self.probe = SignWait(self.probe_failed)
+        self.probe = LivenessWait(self.probe_failed)
         self.outbox: deque[wire.Frame] = deque(maxlen=OUTBOX_FRAMES)
         self.pending_since = 0.0
         self.run_task: asyncio.Task[None] | None = None
@@ -103,9 +103,11 @@
 
     # Calls.
 
-    def submit(self, call: HomeCall, on_outcome: Callable[[Outcome], None]) -> Pending:
+    def submit(
+        self, call: HomeCall, on_outcome: Callable[[Outcome], None]
+    ) -> PendingCall:
         """Have the home run a call, and pass on its outcome once."""
-        pending = Pending(self.identity.number(), call, on_outcome)
+        pending = PendingCall(self.identity.next_call_number(), call, on_outcome)
         if self.established and not call.idempotent and self.stale():
             if self.probe.hold(pending):
                 self.ping(clock.now())
@@ -113,7 +115,7 @@
             self.dispatch(pending)
         return pending
 
-    def dispatch(self, pending: Pending) -> None:
+    def dispatch(self, pending: PendingCall) -> None:
         """Send a call, now or once the link is established.
 
         A call that is held for an answer to a ping is not pending yet: a new
@@ -129,12 +131,12 @@
         else:
             self.open()
 
-    def cancel(self, pending: Pending) -> None:
+    def cancel(self, pending: PendingCall) -> None:
         """Drop a call, and tell the home that its outcome is no longer wanted."""
-        pending.over = True
+        pending.done = True
         if self.pending.pop(pending.number, None) is None:
             return
-        if self.stream is not None and pending.sent_to is not None:
+        if self.stream is not None and pending.home_incarnation is not None:
             self.stream.send(wire.Frame(cancel=wire.Cancel(pending.number)))
 
     def stale(self) -> bool:
@@ -147,7 +149,7 @@
         """
         return clock.now() - self.last_heard >= RECENT_SECONDS
 
-    def probe_failed(self, unsent: list[Pending]) -> None:
+    def probe_failed(self, unsent: list[PendingCall]) -> None:
         """Close the link, and report the calls held on it as not run."""
         self.failing = True
         if self.stream is not None:
@@ -155,13 +157,13 @@
         for pending in unsent:
             pending.resolve(NotRun("link-silent"))
 
-    def send_call(self, pending: Pending) -> None:
+    def send_call(self, pending: PendingCall) -> None:
         """Send a call on the established link."""
-        if pending.over:
+        if pending.done:
             # It has just failed, for example because it was sent to an earlier
             # incarnation of the home: sent again it would run twice.
             return
-        pending.sent_to = self.incarnation
+        pending.home_incarnation = self.incarnation
         assert self.stream is not None
         self.stream.send(pack_call(pending.call, pending.number, self.clock_offset))
 
@@ -359,12 +361,12 @@
         self.failing = True
         self.outbox.clear()
         for pending in list(self.pending.values()):
-            if pending.sent_to is None:
+            if pending.home_incarnation is None:
                 self.fail(pending, NotRun("home-unreachable"))
             elif pending.call.idempotent or reason == "refused":
                 self.fail(pending, Unknown("home-unreachable"))
 
-    def fail(self, pending: Pending, outcome: Outcome) -> None:
+    def fail(self, pending: PendingCall, outcome: Outcome) -> None:
         """Remove a pending call and report its outcome."""
         self.pending.pop(pending.number, None)
         pending.resolve(outcome)
@@ -372,7 +374,7 @@
     def fail_sent(self, reason: str) -> None:
         """Fail the calls that were sent; their outcome is unknown."""
         for pending in list(self.pending.values()):
-            if pending.sent_to is not None:
+            if pending.home_incarnation is not None:
                 self.fail(pending, Unknown(reason))
 
     def fail_all(self, reason: str) -> None:
--- a/sequoiaspoke/sidecar/linkserver.py
+++ b/sequoiaspoke/sidecar/linkserver.py
@@ -41,7 +41,7 @@
         elif frame.cancel is not None:
             self.server.home.cancel((self.peer, frame.cancel.number))
         elif frame.ping is not None:
-            load_report = pack_load_report(self.server.home.news())
+            load_report = pack_load_report(self.server.home.load_report())
             pong = wire.Pong(frame.ping.sent, clock.now(), load_report)
             self.stream.send(wire.Frame(pong=pong))
         elif frame.hello is not None:
@@ -88,7 +88,7 @@
 
     def send_outcome(self, number: int, call: HomeCall, outcome: Outcome) -> None:
         """Send the outcome of a call, with a load report."""
-        load_report = self.server.home.news(call.route, call.rank)
+        load_report = self.server.home.load_report(call.route, call.rank)
         self.stream.send(pack_outcome(number, outcome, load_report))
 
 
--- a/sequoiaspoke/sidecar/pending.py
+++ b/sequoiaspoke/sidecar/pending.py
@@ -1,4 +1,4 @@
-"""Calls that an entry has under way at another node, and how they are numbered."""
+"""Calls that an entry has sent or queued for another node, and their numbers."""
 
 from __future__ import annotations
 
@@ -11,41 +11,43 @@
     from sequoiaspoke.sidecar.homecall import HomeCall
 
 
-class Pending:
-    """A call under way at another node.
+class PendingCall:
+    """A call for another node whose outcome is not known yet.
 
     Attributes
     ----------
-    sent_to : int or None
-        The incarnation of the home that it was sent to.
+    home_incarnation : int or None
+        Incarnation of the home that it was sent to, None while it is not sent.
+    done : bool
+        Whether its outcome was reported or nobody waits for it any more.
     """
 
     def __init__(
-        self, number: int, call: HomeCall, tell: Callable[[Outcome], None]
+        self, number: int, call: HomeCall, on_outcome: Callable[[Outcome], None]
     ) -> None:
         self.number = number
         self.call = call
-        self.tell = tell
-        self.over = False
-        self.sent_to: int | None = None
+        self.on_outcome = on_outcome
+        self.done = False
+        self.home_incarnation: int | None = None
 
     def resolve(self, outcome: Outcome) -> None:
-        """Hand over what came of the call."""
-        if not self.over:
-            self.over = True
-            self.tell(outcome)
+        """Report the outcome of the call, unless it is done."""
+        if not self.done:
+            self.done = True
+            self.on_outcome(outcome)
 
 
 class LinkIdentity:
-    """What this node says of itself on each link it opens."""
+    """Identity of this node on the links that it opens, and its numbering of calls."""
 
     def __init__(self, host: str, zone: str, incarnation: int) -> None:
         self.host = host
         self.zone = zone
         self.incarnation = incarnation
-        self.count = 0
+        self.last_number = 0
 
-    def number(self) -> int:
-        """Return the number of the next call; never one twice."""
-        self.count += 1
-        return self.count
+    def next_call_number(self) -> int:
+        """Return a new call number, unique in this process."""
+        self.last_number += 1
+        return self.last_number
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -22,7 +22,7 @@
     from collections.abc import Callable
 
     from sequoiaspoke.core.mesh.reading import ReadingDuty
-    from sequoiaspoke.sidecar.crashnews import CrashNews
+    from sequoiaspoke.sidecar.crashgossip import CrashGossip
     from sequoiaspoke.sidecar.frames import FrameStream
     from sequoiaspoke.sidecar.linkclient import LinkClient
     from sequoiaspoke.sidecar.logs import EventLog
@@ -83,7 +83,7 @@
         self.config_deferred = False
         self.reader_links: dict[str, LinkClient] = {}
         self.announced = (0, "")
-        self.crash_news: CrashNews | None = None
+        self.crash_gossip: CrashGossip | None = None
 
     def uninformed(self) -> bool:
         """Return whether this node's knowledge is still incomplete."""
@@ -110,16 +110,16 @@
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
             # The readers of the zone have changed.
             self.state.changed()
-        if self.crash_news is not None:
-            self.crash_news.tell_all(stream.send)
+        if self.crash_gossip is not None:
+            self.crash_gossip.send_all(stream.send)
         self.publish()
 
     def handle_crashes(
         self, message: wire.Crashes, reply: Callable[[wire.Frame], None]
     ) -> None:
         """Handle crash reports, or a request for them."""
-        if self.crash_news is not None:
-            self.crash_news.take(message, reply)
+        if self.crash_gossip is not None:
+            self.crash_gossip.receive(message, reply)
 
     def update_held_version(self, stream: FrameStream, holds: wire.Holds) -> None:
         """Record which version of the configuration a subscriber has."""
@@ -261,8 +261,8 @@
         self.reader_links[host] = link
         first = host == self.duty.primary_reader
         link.subscribe(self.state.version, first, self.duty.link_rates[self.duty.host])
-        if self.crash_news is not None:
-            self.crash_news.tell_all(link.send)
+        if self.crash_gossip is not None:
+            self.crash_gossip.send_all(link.send)
 
     def announce_version(self) -> None:
         """Tell the readers which configuration this node has, if that has changed.
--- a/sequoiaspoke/tests/test_mesh_crashing.py
+++ b/sequoiaspoke/tests/test_mesh_crashing.py
@@ -10,7 +10,7 @@
 from sequoiaspoke.core.mesh.outcome import find_header
 from sequoiaspoke.core.mesh.quarantine import HOLD_SECONDS
 from sequoiaspoke.sidecar import wirecalls
-from sequoiaspoke.sidecar.crashnews import CrashNews
+from sequoiaspoke.sidecar.crashgossip import CrashGossip
 from sequoiaspoke.tests.crashsim import DETECTION_SECONDS, SERVICE, CrashWorld
 from sequoiaspoke.tests.meshsim import play_world
 
@@ -152,7 +152,7 @@
             world.check_equal(await world.call(CRASH), True)
             await asyncio.sleep(1.0)
             for node in world.nodes.values():
-                known = node.sidecar.home.suspicion.quarantine
+                known = node.sidecar.home.crash_guard.quarantine
                 fingerprint = world.fingerprint(CRASH)
                 world.check_equal(known.is_suspect(SERVICE, fingerprint), False)
 
@@ -210,7 +210,7 @@
                 upstream.crash()
             await crowd
             for node in world.nodes.values():
-                world.check_equal(node.sidecar.home.suspicion.quarantine.empty, True)
+                world.check_equal(node.sidecar.home.crash_guard.quarantine.empty, True)
 
         self.check_seeds(scenario)
 
@@ -233,7 +233,7 @@
         )
 
     def test_crash_reports_reach_all_nodes(self):
-        self.patch(CrashNews, "take", lambda self, message, reply: None)
+        self.patch(CrashGossip, "receive", lambda self, message, reply: None)
         self.patch(wirecalls, "pack_crash", lambda crash, now: None)
         self.assert_detected(self.repeated, f"{CRASH}: ran")
 
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -18,7 +18,7 @@
 from sequoiaspoke.sidecar.state import MeshState
 from sequoiaspoke.tests.evacuationsim import EvacuationWorld
 from sequoiaspoke.tests.spreadsim import EVACUATION_PREFIX, Items, simulate
-from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, HeldUpstream
+from sequoiaspoke.tests.test_sidecar_home import ENDPOINT, BlockingUpstream
 
 SEEDS = range(16)
 # Evacuations that arrive at nodes in different orders.
@@ -186,10 +186,10 @@
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
-            directory, self.upstream = Directory(), HeldUpstream()
+            directory, self.upstream = Directory(), BlockingUpstream()
             directory.put(ENDPOINT, 5, clock.now())
             self.home = Home(self.upstream, directory, log)
-            self.home.take_slots(2)
+            self.home.set_slots(2)
             self.outcomes = {}
             await scenario()
             self.upstream.gate.set()
@@ -212,7 +212,7 @@
             for name in ("a", "b", "c", "d"):
                 self.submit(name)
             await asyncio.sleep(0)
-            self.home.evacuate(True, 0)
+            self.home.set_evacuated(True, 0)
             refused = {"c": "zone-evacuated", "d": "zone-evacuated"}
             found = {name: outcome.reason for name, outcome in self.outcomes.items()}
             self.assertEqual(found, refused)
@@ -227,12 +227,12 @@
     def test_new_calls_are_refused_from_any_entry(self):
         # An entry that has not learned of the evacuation yet sends a call.
         async def scenario():
-            self.home.evacuate(True, 0)
+            self.home.set_evacuated(True, 0)
             self.submit("a")
             await asyncio.sleep(0)
             self.assertIsInstance(self.outcomes["a"], NotRun)
             self.assertEqual(self.upstream.ran, [])
-            self.home.evacuate(False, 9)
+            self.home.set_evacuated(False, 9)
             self.submit("b")
             await asyncio.sleep(0)
             self.assertEqual(self.upstream.ran, ["b"])
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -225,7 +225,7 @@
 class RestartingUpstream:
     """Runs calls until it is restarted, which aborts them."""
 
-    told_load = None
+    reported_load = None
 
     def __init__(self):
         self.ran = []
@@ -239,7 +239,7 @@
         await self.gate.wait()
         return Unknown("connection-lost") if self.breaking else Answer(200, (), b"")
 
-    def forget_connections(self):
+    def close_idle_connections(self):
         self.forgotten += 1
 
     def tick(self, now):
@@ -254,7 +254,7 @@
             self.directory, self.upstream = Directory(), RestartingUpstream()
             self.directory.put(OLD, 5, clock.now())
             self.home = Home(self.upstream, self.directory, log)
-            self.home.take_endpoint(OLD)
+            self.home.update_endpoint(OLD)
             self.outcomes = []
             await scenario()
 
@@ -272,7 +272,7 @@
         self.upstream.breaking = True
         self.upstream.gate.set()
         self.directory.put(NEW, 8, clock.now())
-        self.home.take_endpoint(NEW)
+        self.home.update_endpoint(NEW)
 
     def test_a_call_that_ran_at_an_earlier_incarnation_is_not_rerun(self):
         # A call that is not idempotent runs as its upstream crashes and restarts under
@@ -310,7 +310,7 @@
             admission = self.home.admission
             admission.durations.begin("x", "r", 0.0)
             admission.finish("x", True, 9.0)
-            self.home.take_endpoint(OLD)
+            self.home.update_endpoint(OLD)
             self.assertEqual(self.upstream.forgotten, 0)
             self.restart()
             self.assertEqual(self.upstream.forgotten, 1)
@@ -321,7 +321,7 @@
 
     def test_a_waiting_call_runs_at_the_later_incarnation(self):
         async def scenario():
-            self.home.take_slots(1)
+            self.home.set_slots(1)
             for key in ("/1", "/2"):
                 self.submit(key)
             await asyncio.sleep(0)
