--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -252,8 +252,8 @@
         now = clock.now()
         if now - self.ticked > PAUSE_SECONDS:
             self.log.event("pause", seconds=f"{now - self.ticked:.2f}")
-            self.entry.woke(now)
-            self.upstream.deadlines.woke(now)
+            self.entry.vm_resumed(now)
+            self.upstream.deadlines.vm_resumed(now)
             # Whatever was read before may be long out of date.
             self.follower.store.reconnect()
         self.loop_delay = max(0.0, now - self.ticked - self.tick_pause)
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -15,7 +15,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.deadlines import Deadlines
 from sequoiaspoke.sidecar.homecall import HomeCall
-from sequoiaspoke.sidecar.race import TRY_ELSEWHERE, Attempt, Race
+from sequoiaspoke.sidecar.race import RETRYABLE_STATUSES, Attempt, Race
 
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
@@ -45,7 +45,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        repeats: RepeatLimits,
+        retry_limits: RepeatLimits,
         regions: dict[str, str],
         log: EventLog,
     ) -> None:
@@ -57,12 +57,12 @@
         self.deadlines = Deadlines()
         self.placing = Placing(peers.identity.zone)
         self.sample = Sample(peers.rng)
-        self.budgets = RepeatBudgets(repeats)
+        self.budgets = RepeatBudgets(retry_limits)
         self.reasons: Counter[str] = Counter()
         self.local_calls = 0
-        peers.on_news = self.heard
+        peers.on_news = self.load_reported
 
-    def repeat(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take a repeat out of the budget of a service if there is room."""
         budget = self.budgets.of(service)
         return budget.spend(self.peers.nodes(), clock.now())
@@ -70,7 +70,7 @@
     def choose(self, progress: Progress) -> Endpoint | None:
         """Return the endpoint of the next attempt."""
         if self.suspected(progress):
-            return self.endpoint_of_suspect(progress)
+            return self.suspect_endpoint(progress)
         now = clock.now()
         directory = self.state.directory
         return self.placing.choose(
@@ -81,28 +81,28 @@
             progress.on_time - now,
         )
 
-    def endpoint_of_suspect(self, progress: Progress) -> Endpoint | None:
+    def suspect_endpoint(self, progress: Progress) -> Endpoint | None:
         """Return the endpoint to which all entries send a suspected request.
 
         There one copy of it runs after the other, so that it can crash one upstream
         and not all of them at once.
         """
         group = self.state.directory.group(progress.service)
-        found = {each.instance: each for each in group.endpoints}
-        for instance in rank(progress.request.fingerprint, found):
-            if self.open_to(progress, found[instance]):
-                return found[instance]
+        by_instance = {each.instance: each for each in group.endpoints}
+        for instance in rank(progress.request.fingerprint, by_instance):
+            if self.eligible(progress, by_instance[instance]):
+                return by_instance[instance]
         return None
 
     def candidates(self, progress: Progress) -> list[Endpoint]:
         """Return the endpoints among which an attempt's is chosen."""
         group = self.state.directory.group(progress.service)
-        near = group.in_zone(self.peers.identity.zone)
+        same_zone = group.in_zone(self.peers.identity.zone)
         return self.sample.candidates(
-            group.endpoints, near, lambda each: self.open_to(progress, each)
+            group.endpoints, same_zone, lambda each: self.eligible(progress, each)
         )
 
-    def open_to(self, progress: Progress, endpoint: Endpoint) -> bool:
+    def eligible(self, progress: Progress, endpoint: Endpoint) -> bool:
         """Return whether a call may be tried at an endpoint."""
         return (
             endpoint.incarnation not in progress.tried
@@ -117,14 +117,14 @@
         """
         return not route.regions or self.regions.get(endpoint.zone) in route.regions
 
-    def lacking(self, progress: Progress) -> str:
+    def no_endpoint_reason(self, progress: Progress) -> str:
         """Return why no endpoint is left for a call."""
         directory = self.state.directory
         if progress.tried or directory.serving(progress.service):
             return "no-endpoint"
         return "zones-evacuated" if directory.grouping.closed_zones else "no-endpoint"
 
-    def others_left(self, progress: Progress) -> bool:
+    def has_candidates(self, progress: Progress) -> bool:
         """Return whether there is an endpoint that a call was not tried at."""
         return bool(self.candidates(progress))
 
@@ -142,21 +142,23 @@
         An upstream that has just turned slow, or whose answer was lost, is known by
         nothing else; the call would wait for it until its time is over.
         """
-        if progress.over:
+        if progress.expired:
             # Its time ran out between two attempts.
             raise TimeoutError
         race = progress.race = Race()
         self.start(progress, endpoint, race)
-        hedge = None
-        if self.may_hedge(progress) and not race.decided.done():
+        hedge_timer = None
+        if self.may_hedge(progress) and not race.result.done():
             now = clock.now()
             delay = self.placing.patience(progress.route.name, endpoint, now)
-            hedge = self.deadlines.at(now + delay, partial(self.hedge, progress, race))
+            hedge_timer = self.deadlines.call_at(
+                now + delay, partial(self.hedge, progress, race)
+            )
         try:
-            return await race.decided
+            return await race.result
         finally:
-            if hedge is not None:
-                hedge.cancel()
+            if hedge_timer is not None:
+                hedge_timer.cancel()
             race.cancel()
 
     def may_hedge(self, progress: Progress) -> bool:
@@ -167,27 +169,29 @@
         """Return whether a call's request may have crashed an upstream."""
         return self.home.suspicion.suspected(progress.service, progress.request)
 
-    def held_seconds(self, progress: Progress) -> float:
+    def quarantine_seconds(self, progress: Progress) -> float:
         """Return for how much longer a call's request is held back."""
         return self.home.suspicion.held_seconds(progress.service, progress.request)
 
     def start(self, progress: Progress, endpoint: Endpoint, race: Race) -> None:
         """Begin an attempt."""
-        attempt = Attempt(progress, endpoint, race, self.ended, self.cancelled)
+        attempt = Attempt(
+            progress, endpoint, race, self.attempt_ended, self.attempt_cancelled
+        )
         race.attempts.append(attempt)
         self.placing.begin(endpoint.incarnation)
-        self.begin(attempt)
+        self.send_to_home(attempt)
 
     def hedge(self, progress: Progress, race: Race) -> None:
         """Try a call at a second endpoint beside the first, if that may be done."""
         (first,) = race.attempts
-        if first.over or progress.reached + 2 > progress.route.attempts:
+        if first.finished or progress.reached + 2 > progress.route.attempts:
             return
         if self.suspected(progress):
             return
         progress.tried.add(first.endpoint.incarnation)
         second = self.choose(progress)
-        if second is None or not self.repeat(progress.service):
+        if second is None or not self.take_retry(progress.service):
             return
         progress.reached += 1
         progress.may_have_run = True
@@ -202,7 +206,7 @@
         )
         self.start(progress, second, race)
 
-    def begin(self, attempt: Attempt) -> None:
+    def send_to_home(self, attempt: Attempt) -> None:
         """Have the home of an endpoint run the call."""
         progress, endpoint = attempt.progress, attempt.endpoint
         call = HomeCall(
@@ -215,51 +219,53 @@
             progress.deadline,
         )
         if endpoint.host == self.peers.identity.host:
-            self.begin_here(attempt, call)
+            self.run_locally(attempt, call)
             return
         link = self.peers.link(endpoint.host)
-        pending = link.submit(call, lambda outcome: attempt.take(outcome, link.news))
-        attempt.call_off = partial(link.withdraw, pending)
+        pending = link.submit(call, lambda outcome: attempt.finish(outcome, link.news))
+        attempt.cancel_at_home = partial(link.withdraw, pending)
 
-    def begin_here(self, attempt: Attempt, call: HomeCall) -> None:
+    def run_locally(self, attempt: Attempt, call: HomeCall) -> None:
         """Have the home of this node run a call."""
         self.local_calls += 1
         key = ("here", self.local_calls)
-        attempt.call_off = partial(self.home.cancel, key)
+        attempt.cancel_at_home = partial(self.home.cancel, key)
 
-        def tell(outcome: Outcome) -> None:
-            attempt.take(outcome, self.home.news(call.route, call.rank))
+        def on_outcome(outcome: Outcome) -> None:
+            attempt.finish(outcome, self.home.news(call.route, call.rank))
 
-        self.home.submit(key, call, tell)
+        self.home.submit(key, call, on_outcome)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, news: News) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: News) -> None:
         """Learn from what came of an attempt."""
-        start, now = attempt.endpoint.incarnation, clock.now()
+        incarnation, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
             self.home.suspicion.learn([outcome.crash])
-        self.placing.end(start)
-        self.placing.load(start, attempt.progress.route.name, news, now)
-        self.measure(attempt.progress, start, outcome, now)
+        self.placing.end(incarnation)
+        self.placing.load(incarnation, attempt.progress.route.name, report, now)
+        self.record_outcome(attempt.progress, incarnation, outcome, now)
 
-    def cancelled(self, attempt: Attempt) -> None:
+    def attempt_cancelled(self, attempt: Attempt) -> None:
         """Note that an attempt was called off."""
         self.placing.end(attempt.endpoint.incarnation)
 
-    def heard(self, host: str, news: News) -> None:
+    def load_reported(self, host: str, report: News) -> None:
         """Take a home's word that came without a call."""
         now = clock.now()
         for endpoint in self.state.directory.at_host(host):
-            self.placing.load(endpoint.incarnation, "", news, now)
+            self.placing.load(endpoint.incarnation, "", report, now)
 
-    def measure(
-        self, progress: Progress, start: Incarnation, outcome: Outcome, now: float
+    def record_outcome(
+        self, progress: Progress, incarnation: Incarnation, outcome: Outcome, now: float
     ) -> None:
         """Learn from what came of an attempt."""
         if isinstance(outcome, Answer):
-            if outcome.status in TRY_ELSEWHERE:
-                self.placing.failed(start, now)
+            if outcome.status in RETRYABLE_STATUSES:
+                self.placing.failed(incarnation, now)
             else:
                 size = len(progress.request.body) + len(outcome.body)
-                self.placing.answered(progress.route.name, start, outcome.seconds, size)
+                self.placing.answered(
+                    progress.route.name, incarnation, outcome.seconds, size
+                )
         elif isinstance(outcome, Unknown) or outcome.reached:
-            self.placing.failed(start, now)
+            self.placing.failed(incarnation, now)
--- a/sequoiaspoke/sidecar/callerserver.py
+++ b/sequoiaspoke/sidecar/callerserver.py
@@ -18,7 +18,7 @@
 from sequoiaspoke.core.mesh.model import CallerLimits
 from sequoiaspoke.core.mesh.outcome import Request
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.httptext import CONTINUE, answer_text, own_answer
+from sequoiaspoke.sidecar.httptext import CONTINUE, encode_answer, local_answer
 from sequoiaspoke.sidecar.sockets import Connection, ConnectionServer
 
 if TYPE_CHECKING:
@@ -28,23 +28,23 @@
 
 HEAD_END = b"\r\n\r\n"
 # Calls read ahead on one connection; a caller with more waits for answers first.
-READ_AHEAD = 64
+MAX_PIPELINED = 64
 # Bytes of request bodies that this node holds for all callers; above, calls are
 # refused until some have been answered.
-BODY_BYTES = 24 << 20
+MAX_BODY_BYTES = 24 << 20
 # Bytes of answers that a caller has not read; beyond, its connection ends, as a
 # caller that stands still would fill this node's memory.
-UNREAD_BYTES = 16 << 20
+MAX_UNREAD_BYTES = 16 << 20
 # Seconds that a caller has to close after its last answer.
-CLOSE_SECONDS = 1.0
+CLOSE_TIMEOUT = 1.0
 
 
 class Exchange:
     """One request of a connection and the answer that is due in its turn."""
 
-    def __init__(self, request: Request | None, keep: bool) -> None:
+    def __init__(self, request: Request | None, keep_alive: bool) -> None:
         self.request = request
-        self.keep = keep
+        self.keep_alive = keep_alive
         self.task: asyncio.Task[None] | None = None
         self.answer: Answer | None = None
 
@@ -58,10 +58,10 @@
         self.nested = False
         self.limits = server.limits()
         self.pending: deque[Exchange] = deque()
-        self.paused = False
+        self.reading_paused = False
         self.parser = httptools.HttpRequestParser(self)
-        self.active = clock.now()
-        self.ending = False
+        self.last_active = clock.now()
+        self.input_ended = False
         self.reset_request()
 
     def opened(self) -> None:
@@ -77,11 +77,11 @@
         self.body: list[bytes] = []
         self.body_size = 0
         self.head_size = 0
-        self.chunk_body = 0
-        self.head_began = False
-        self.begun: float | None = None
-        self.head_done = False
-        self.too_large = 0
+        self.chunk_body_bytes = 0
+        self.head_began_in_chunk = False
+        self.request_started: float | None = None
+        self.head_complete = False
+        self.refused_status = 0
 
     def received(self, data: bytes) -> None:
         """Take bytes of the caller.
@@ -89,12 +89,16 @@
         Also after the last request: a caller that leaves is noticed by nothing else,
         and its call would run on for nobody. What comes then is not looked at.
         """
-        self.active = clock.now()
-        if self.ending:
+        self.last_active = clock.now()
+        if self.input_ended:
             return
-        self.feed(data)
-        if len(self.pending) >= READ_AHEAD and not self.paused and not self.closed:
-            self.paused = True
+        self.parse(data)
+        if (
+            len(self.pending) >= MAX_PIPELINED
+            and not self.reading_paused
+            and not self.closed
+        ):
+            self.reading_paused = True
             self.transport.pause_reading()
 
     def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
@@ -105,27 +109,27 @@
                 exchange.task.cancel()
         self.pending.clear()
 
-    def feed(self, data: bytes) -> None:
+    def parse(self, data: bytes) -> None:
         """Take bytes of the caller."""
-        self.chunk_body = 0
-        self.head_began = False
+        self.chunk_body_bytes = 0
+        self.head_began_in_chunk = False
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # Upgrades are not offered; the request itself was answered as usual.
-            self.ending = True
+            self.input_ended = True
         except httptools.HttpParserError:
             self.refuse(400, "malformed request")
         else:
-            if self.begun is not None and not self.head_done:
-                self.bound_head(data)
+            if self.request_started is not None and not self.head_complete:
+                self.check_head_size(data)
 
-    def bound_head(self, data: bytes) -> None:
+    def check_head_size(self, data: bytes) -> None:
         """Refuse a head that is too large before it is complete."""
-        if self.head_began:
+        if self.head_began_in_chunk:
             # Before it in this piece lie requests that are complete.
             _, _, tail = data.rpartition(HEAD_END)
-            self.head_size = len(tail) - self.chunk_body
+            self.head_size = len(tail) - self.chunk_body_bytes
         else:
             self.head_size += len(data)
         if self.head_size > self.limits.header_bytes:
@@ -136,8 +140,8 @@
     def on_message_begin(self) -> None:
         """Begin a request."""
         self.reset_request()
-        self.head_began = True
-        self.begun = clock.now()
+        self.head_began_in_chunk = True
+        self.request_started = clock.now()
 
     def on_url(self, data: bytes) -> None:
         """Take a piece of the request target."""
@@ -149,7 +153,7 @@
 
     def on_headers_complete(self) -> None:
         """Take the end of the head."""
-        self.head_done = True
+        self.head_complete = True
         for name, value in self.headers:
             if name.lower() == "expect" and value.lower() == "100-continue":
                 self.write(CONTINUE)
@@ -157,21 +161,21 @@
     def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
         self.body_size += len(data)
-        self.chunk_body += len(data)
+        self.chunk_body_bytes += len(data)
         if self.body_size > self.limits.body_bytes:
-            self.too_large = 413
-        elif self.server.body_bytes + self.body_size > BODY_BYTES:
-            self.too_large = 503
-        if self.too_large:
+            self.refused_status = 413
+        elif self.server.body_bytes + self.body_size > MAX_BODY_BYTES:
+            self.refused_status = 503
+        if self.refused_status:
             self.body.clear()
         else:
             self.body.append(data)
 
     def on_message_complete(self) -> None:
         """Begin to serve a whole request."""
-        if self.ending:
+        if self.input_ended:
             return
-        keep = self.parser.should_keep_alive()
+        keep_alive = self.parser.should_keep_alive()
         request = Request(
             self.parser.get_method().decode("ascii"),
             self.target.decode("latin-1"),
@@ -179,30 +183,30 @@
             b"".join(self.body),
             self.nested,
         )
-        exchange = Exchange(request, keep)
+        exchange = Exchange(request, keep_alive)
         self.pending.append(exchange)
-        self.begun = None
-        if not keep:
-            self.ending = True
-        if self.too_large:
-            retry_after = 1.0 if self.too_large == 503 else None
-            exchange.answer = own_answer(self.too_large, "body", retry_after)
+        self.request_started = None
+        if not keep_alive:
+            self.input_ended = True
+        if self.refused_status:
+            retry_after = 1.0 if self.refused_status == 503 else None
+            exchange.answer = local_answer(self.refused_status, "body", retry_after)
             self.flush()
             return
         self.server.body_bytes += len(request.body)
         exchange.task = asyncio.ensure_future(self.serve(exchange, request))
         # Also if the caller leaves before the task has begun, which then runs nothing.
-        exchange.task.add_done_callback(lambda _: self.server.release(request))
+        exchange.task.add_done_callback(lambda _: self.server.release_body(request))
 
     # Answers.
 
     def refuse(self, status: int, reason: str) -> None:
         """Answer something that is no request, after those before it."""
-        exchange = Exchange(None, keep=False)
-        exchange.answer = own_answer(status, reason)
+        exchange = Exchange(None, keep_alive=False)
+        exchange.answer = local_answer(status, reason)
         self.pending.append(exchange)
-        self.begun = None
-        self.ending = True
+        self.request_started = None
+        self.input_ended = True
         self.flush()
 
     async def serve(self, exchange: Exchange, request: Request) -> None:
@@ -211,8 +215,8 @@
             exchange.answer = await self.server.handle(request)
         except Exception as error:
             # One call's fault must not end the calls of all others.
-            self.server.crashed(error)
-            exchange.answer = own_answer(502, "internal error")
+            self.server.on_crash(error)
+            exchange.answer = local_answer(502, "internal error")
         self.flush()
 
     def flush(self) -> None:
@@ -220,27 +224,31 @@
         while self.pending and self.pending[0].answer is not None:
             exchange = self.pending.popleft()
             last = not self.pending
-            close = not exchange.keep or (last and self.server.closing)
+            close = not exchange.keep_alive or (last and self.server.closing)
             head = exchange.request is not None and exchange.request.method == "HEAD"
             assert exchange.answer is not None
-            self.active = clock.now()
-            self.write(answer_text(exchange.answer, close, head))
+            self.last_active = clock.now()
+            self.write(encode_answer(exchange.answer, close, head))
             if close:
-                self.ending = True
-                self.finish()
+                self.input_ended = True
+                self.half_close()
                 return
-        if self.paused and not self.closed and len(self.pending) < READ_AHEAD:
-            self.paused = False
+        if (
+            self.reading_paused
+            and not self.closed
+            and len(self.pending) < MAX_PIPELINED
+        ):
+            self.reading_paused = False
             self.transport.resume_reading()
 
     def write(self, data: bytes) -> None:
         """Send bytes unless the caller has left or does not read."""
-        if self.unsent_bytes() > UNREAD_BYTES:
+        if self.unsent_bytes() > MAX_UNREAD_BYTES:
             self.close()
         else:
             super().write(data)
 
-    def finish(self) -> None:
+    def half_close(self) -> None:
         """Stop sending, and read what still comes before closing.
 
         Closing with unread bytes resets the connection, and a reset can overtake the
@@ -248,16 +256,16 @@
         """
         if not self.closed:
             self.transport.write_eof()
-            asyncio.get_running_loop().call_later(CLOSE_SECONDS, self.close)
+            asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self.close)
 
     def tick(self, now: float) -> None:
         """End what has idled or been incomplete for too long."""
         if self.pending or self.closed:
             return
-        if self.begun is not None and not self.head_done:
-            if now - self.begun > self.limits.header_timeout:
+        if self.request_started is not None and not self.head_complete:
+            if now - self.request_started > self.limits.header_timeout:
                 self.refuse(408, "headers took too long")
-        elif now - self.active > self.limits.idle_timeout:
+        elif now - self.last_active > self.limits.idle_timeout:
             self.close()
 
 
@@ -275,12 +283,12 @@
     def __init__(
         self,
         handle: Callable[[Request], Awaitable[Answer]],
-        crashed: Callable[[BaseException], None],
+        on_crash: Callable[[BaseException], None],
         upstream_host: str = "",
     ) -> None:
         super().__init__()
         self.handle = handle
-        self.crashed = crashed
+        self.on_crash = on_crash
         self.upstream_host = upstream_host
         self.connections: set[CallerConnection] = set()
         self.body_bytes = 0
@@ -295,7 +303,7 @@
         """Return what serves the next caller."""
         return CallerConnection(self)
 
-    def release(self, request: Request) -> None:
+    def release_body(self, request: Request) -> None:
         """Note that a request is held no more."""
         self.body_bytes -= len(request.body)
 
--- a/sequoiaspoke/sidecar/deadlines.py
+++ b/sequoiaspoke/sidecar/deadlines.py
@@ -19,22 +19,22 @@
 
 # Seconds of one step of the event loop's timers. A timer set for less runs too early,
 # and would be set again in each turn of the loop until its time: 200 turns a second.
-TIMER_STEP = 0.001
+TIMER_RESOLUTION = 0.001
 # Callbacks that stand before those called off are swept out for the first time.
-SWEEP_FIRST = 256
+MIN_SWEEP_SIZE = 256
 
 
 class Deadline:
     """A callback that is due at a time unless it is called off."""
 
-    __slots__ = ("run",)
+    __slots__ = ("callback",)
 
-    def __init__(self, run: Callable[[], None]) -> None:
-        self.run: Callable[[], None] | None = run
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """Call it off."""
-        self.run = None
+        self.callback = None
 
 
 class Deadlines:
@@ -48,63 +48,63 @@
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, Deadline]] = []
-        self.count = 0
+        self.sequence = 0
         self.latest = float("inf")
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = float("inf")
-        self.sweep_at = SWEEP_FIRST
+        self.sweep_size = MIN_SWEEP_SIZE
 
-    def at(self, when: float, run: Callable[[], None]) -> Deadline:
+    def call_at(self, when: float, callback: Callable[[], None]) -> Deadline:
         """Have a callback run at a time."""
         when = min(when, self.latest)
-        deadline = Deadline(run)
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, deadline))
+        deadline = Deadline(callback)
+        self.sequence += 1
+        heapq.heappush(self.heap, (when, self.sequence, deadline))
         if when < self.timer_at:
             self.arm()
-        if len(self.heap) > self.sweep_at:
+        if len(self.heap) > self.sweep_size:
             self.sweep()
         return deadline
 
     def sweep(self) -> None:
         """Forget what was called off."""
-        self.heap = [each for each in self.heap if each[2].run is not None]
+        self.heap = [each for each in self.heap if each[2].callback is not None]
         heapq.heapify(self.heap)
-        self.sweep_at = max(SWEEP_FIRST, 2 * len(self.heap))
+        self.sweep_size = max(MIN_SWEEP_SIZE, 2 * len(self.heap))
 
     def arm(self) -> None:
         """Set the loop's timer for the first callback."""
         if self.timer is not None:
             self.timer.cancel()
         when = self.timer_at = self.heap[0][0]
-        delay = max(0.0, when - clock.now()) + TIMER_STEP
-        self.timer = asyncio.get_running_loop().call_later(delay, self.due)
+        delay = max(0.0, when - clock.now()) + TIMER_RESOLUTION
+        self.timer = asyncio.get_running_loop().call_later(delay, self.on_timer)
 
-    def due(self) -> None:
+    def on_timer(self) -> None:
         """Run what is due now."""
         self.timer, self.timer_at = None, float("inf")
-        self.run_until(clock.now())
+        self.run_due(clock.now())
 
-    def run_until(self, now: float) -> None:
+    def run_due(self, now: float) -> None:
         """Run what is due at a time."""
         try:
             while self.heap and self.heap[0][0] <= now:
                 _, _, deadline = heapq.heappop(self.heap)
-                run, deadline.run = deadline.run, None
-                if run is not None:
-                    run()
+                callback, deadline.callback = deadline.callback, None
+                if callback is not None:
+                    callback()
         finally:
             # Also after one that failed: the others' callers still wait.
             if self.heap and self.timer is None:
                 self.arm()
 
-    def woke(self, now: float) -> None:
+    def vm_resumed(self, now: float) -> None:
         """Run what became due while this VM stood still, and the rest in its time.
 
         The loop's clock stood still with it. Callers would wait for their final answer
         as long again as the VM was suspended.
         """
-        self.run_until(now)
+        self.run_due(now)
         if self.heap:
             self.arm()
 
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -20,8 +20,8 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.attempts import Attempts
 from sequoiaspoke.sidecar.deadlines import Deadlines
-from sequoiaspoke.sidecar.httptext import end_to_end, own_answer
-from sequoiaspoke.sidecar.race import TRY_ELSEWHERE, Progress
+from sequoiaspoke.sidecar.httptext import end_to_end, local_answer
+from sequoiaspoke.sidecar.race import RETRYABLE_STATUSES, Progress
 
 if TYPE_CHECKING:
     from random import Random
@@ -39,15 +39,15 @@
 
 # Seconds after which a caller that was refused may come back if nothing better is
 # known: time for a link to be opened or a node to start.
-COME_BACK = 0.3
+RETRY_AFTER_SECONDS = 0.3
 # Seconds after which a stopped node should be back: the rest of its end and its start.
-STOPPED_SECONDS = 1.0
+RESTART_SECONDS = 1.0
 # How many times its usual time a call may take, with one in a hundred above; a node
 # that stops takes no call that would then outlast it.
-LONGEST = 4.0
+LONGEST_CALL_FACTOR = 4.0
 # Attempts that reach no upstream, at most: each costs a round trip only, but a fleet
 # that refuses should be told to the caller soon.
-FRUITLESS_MOST = 6
+MAX_UNREACHED_ATTEMPTS = 6
 
 
 class Entry:
@@ -67,7 +67,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        repeats: RepeatLimits,
+        retry_limits: RepeatLimits,
         rng: Random,
         log: EventLog,
     ) -> None:
@@ -75,14 +75,14 @@
         self.names = names
         self.state = state
         self.peers = peers
-        self.attempts = Attempts(state, home, peers, repeats, regions, log)
+        self.attempts = Attempts(state, home, peers, retry_limits, regions, log)
         self.log = log
         self.splitter = Splitter(rng)
         self.closes_at = float("inf")
         self.deadlines = Deadlines()
         self.counts: Counter[tuple[str, str]] = Counter()
         self.reasons = self.attempts.reasons
-        self.own_headers = frozenset(
+        self.stripped_headers = frozenset(
             {names.time_left, names.instance, names.caller_service}
         )
 
@@ -101,16 +101,16 @@
         arrived = clock.now()
         table = self.state.table
         if table is None:
-            return self.refuse(request, "no-configuration", COME_BACK)
+            return self.refuse(request, "no-configuration", RETRY_AFTER_SECONDS)
         route = table.match(request.header("host"), request.target)
         if route is None:
             return self.no_route(request)
         service = self.splitter.choose(route.name, route.split, "")
         left = self.time_left(request, route)
         if left <= 0:
-            return self.refuse(request, "no-time", COME_BACK)
-        if self.too_late(route, arrived):
-            return self.refuse(request, "stopping", STOPPED_SECONDS, service)
+            return self.refuse(request, "no-time", RETRY_AFTER_SECONDS)
+        if self.would_outlast_node(route, arrived):
+            return self.refuse(request, "stopping", RESTART_SECONDS, service)
         progress = Progress(
             self.forwarded(request),
             route,
@@ -118,12 +118,12 @@
             min(arrived + left, self.closes_at),
             arrived + route.objective,
         )
-        held = self.attempts.held_seconds(progress)
-        if held:
-            return self.refuse(request, Turned.HELD_BACK, held, service)
+        quarantine = self.attempts.quarantine_seconds(progress)
+        if quarantine:
+            return self.refuse(request, Turned.HELD_BACK, quarantine, service)
         self.attempts.budgets.of(service).first(arrived)
         try:
-            answer = await self.in_time(progress)
+            answer = await self.serve_until_deadline(progress)
         except TimeoutError:
             answer = self.timed_out(progress)
         except asyncio.CancelledError:
@@ -133,17 +133,17 @@
         self.latency.record_value(max(1, int((clock.now() - arrived) * 1000)))
         return answer
 
-    async def in_time(self, progress: Progress) -> Answer:
+    async def serve_until_deadline(self, progress: Progress) -> Answer:
         """Serve a call; raise TimeoutError once its time is over."""
-        limit = self.deadlines.at(progress.deadline, progress.time_over)
+        timer = self.deadlines.call_at(progress.deadline, progress.expire)
         try:
             return await self.serve(progress)
         finally:
-            limit.cancel()
+            timer.cancel()
 
-    def woke(self, now: float) -> None:
+    def vm_resumed(self, now: float) -> None:
         """Answer the calls whose time ran out while this VM stood still."""
-        self.deadlines.woke(now)
+        self.deadlines.vm_resumed(now)
 
     def stop_at(self, closes_at: float) -> None:
         """Answer every call by a time, at which this node is about to end.
@@ -159,7 +159,7 @@
     def no_route(self, request: Request) -> Answer:
         """Answer a call that no route matches."""
         if self.state.may_lack_a_route(clock.now()):
-            return self.refuse(request, "no-fresh-configuration", COME_BACK)
+            return self.refuse(request, "no-fresh-configuration", RETRY_AFTER_SECONDS)
         self.counts["", "404"] += 1
         self.log.call(
             "no-route",
@@ -169,18 +169,18 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(404, "no route")
+        return local_answer(404, "no route")
 
     def time_left(self, request: Request, route: Route) -> float:
         """Return the seconds until the final answer is due."""
         text = request.header(self.names.time_left)
         try:
-            told = float(text) / 1000
+            requested = float(text) / 1000
         except ValueError:
             return route.timeout
-        return min(told, route.timeout)
+        return min(requested, route.timeout)
 
-    def too_late(self, route: Route, now: float) -> bool:
+    def would_outlast_node(self, route: Route, now: float) -> bool:
         """Return whether this node might end before a new call does.
 
         A node that is told to stop goes on serving the callers that have not moved
@@ -188,11 +188,11 @@
         the caller would not know whether it ran.
         """
         usual = self.attempts.placing.mean.get(route.name, FIRST_GUESS)
-        return now + LONGEST * usual > self.closes_at
+        return now + LONGEST_CALL_FACTOR * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
         """Return the request as upstreams get it."""
-        headers = end_to_end(request.headers, self.own_headers)
+        headers = end_to_end(request.headers, self.stripped_headers)
         headers += ((self.names.caller_service, self.service),)
         return replace(request, headers=headers)
 
@@ -203,26 +203,30 @@
         while True:
             endpoint = self.attempts.choose(progress)
             if endpoint is None:
-                return self.final(progress, self.attempts.lacking(progress))
+                return self.final_answer(
+                    progress, self.attempts.no_endpoint_reason(progress)
+                )
             endpoint, outcome = await self.attempts.call(progress, endpoint)
-            progress.last = outcome
-            if not self.again(progress, endpoint, outcome):
-                return self.final(progress, "gave-up")
+            progress.last_outcome = outcome
+            if not self.should_retry(progress, endpoint, outcome):
+                return self.final_answer(progress, "gave-up")
 
-    def again(self, progress: Progress, endpoint: Endpoint, outcome: Outcome) -> bool:
+    def should_retry(
+        self, progress: Progress, endpoint: Endpoint, outcome: Outcome
+    ) -> bool:
         """Return whether another endpoint is tried."""
         progress.tried.add(endpoint.incarnation)
-        fruitless = isinstance(outcome, NotRun) and not outcome.reached
-        if fruitless:
-            progress.fruitless += 1
-            decision = (
+        unreached = isinstance(outcome, NotRun) and not outcome.reached
+        if unreached:
+            progress.unreached += 1
+            retry = (
                 outcome.reason != Turned.HELD_BACK
-                and progress.fruitless <= FRUITLESS_MOST
+                and progress.unreached <= MAX_UNREACHED_ATTEMPTS
             )
         else:
             progress.reached += 1
             progress.may_have_run |= not isinstance(outcome, NotRun)
-            decision = self.repeat_allowed(progress, outcome)
+            retry = self.may_retry(progress, outcome)
         if isinstance(outcome, NotRun):
             progress.retry_after = min(progress.retry_after, outcome.retry_after)
             if outcome.reason == Turned.HELD_BACK:
@@ -237,45 +241,52 @@
                 instance=endpoint.instance,
                 outcome=type(outcome).__name__,
                 reason=outcome.reason,
-                again=decision,
+                again=retry,
                 left=f"{progress.deadline - clock.now():.3f}",
                 version=self.state.version,
                 age=f"{self.peers.age():.2f}",
             )
-        return decision
+        return retry
 
-    def repeat_allowed(self, progress: Progress, outcome: Outcome) -> bool:
+    def may_retry(self, progress: Progress, outcome: Outcome) -> bool:
         """Return whether a call that reached an upstream is sent to another."""
         if isinstance(outcome, Answer):
-            if outcome.status not in TRY_ELSEWHERE or not progress.route.idempotent:
+            if (
+                outcome.status not in RETRYABLE_STATUSES
+                or not progress.route.idempotent
+            ):
                 return False
         elif isinstance(outcome, Unknown) and not progress.route.idempotent:
             return False
         if progress.reached >= progress.route.attempts:
             return False
-        if self.attempts.held_seconds(progress):
+        if self.attempts.quarantine_seconds(progress):
             return False
-        if not self.attempts.others_left(progress):
+        if not self.attempts.has_candidates(progress):
             return False
-        return self.attempts.repeat(progress.service)
+        return self.attempts.take_retry(progress.service)
 
     # Final answers.
 
-    def final(self, progress: Progress, reason: str) -> Answer:
+    def final_answer(self, progress: Progress, reason: str) -> Answer:
         """Return the answer that the last attempt leaves."""
-        last = progress.last
-        if isinstance(last, Answer):
-            return last
-        if isinstance(last, Unknown):
+        last_outcome = progress.last_outcome
+        if isinstance(last_outcome, Answer):
+            return last_outcome
+        if isinstance(last_outcome, Unknown):
             # The home's clock may run out a moment before this node's.
-            status = 504 if last.reason == TIMED_OUT else 502
-            return self.fail(progress, status, last.reason)
+            status = 504 if last_outcome.reason == TIMED_OUT else 502
+            return self.fail(progress, status, last_outcome.reason)
         if progress.may_have_run:
             return self.fail(progress, 502, reason)
-        if isinstance(last, NotRun):
+        if isinstance(last_outcome, NotRun):
             wait = max(progress.retry_after, LEAST_WAIT)
-            return self.refuse(progress.request, last.reason, wait, progress.service)
-        return self.refuse(progress.request, reason, COME_BACK, progress.service)
+            return self.refuse(
+                progress.request, last_outcome.reason, wait, progress.service
+            )
+        return self.refuse(
+            progress.request, reason, RETRY_AFTER_SECONDS, progress.service
+        )
 
     def timed_out(self, progress: Progress) -> Answer:
         """Answer a call whose time is over while an attempt was under way."""
@@ -294,7 +305,7 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(status, reason)
+        return local_answer(status, reason)
 
     def refuse(
         self, request: Request, reason: str, retry_after: float, service: str = ""
@@ -311,4 +322,4 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(503, reason, retry_after)
+        return local_answer(503, reason, retry_after)
--- a/sequoiaspoke/sidecar/healthserver.py
+++ b/sequoiaspoke/sidecar/healthserver.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.mesh.outcome import Answer
-from sequoiaspoke.sidecar.httptext import own_answer
+from sequoiaspoke.sidecar.httptext import local_answer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,16 +44,16 @@
         if path.startswith(RELEASE_PATH):
             return self.release_held(request, path.removeprefix(RELEASE_PATH))
         if path != self.path:
-            return own_answer(404, "no such page")
+            return local_answer(404, "no such page")
         reason = self.ready()
         if reason:
-            return own_answer(503, reason, retry_after=0.5)
-        return own_answer(200, "ready")
+            return local_answer(503, reason, retry_after=0.5)
+        return local_answer(200, "ready")
 
     def release_held(self, request: Request, fingerprint: str) -> Answer:
         """Let go of a request that is suspected or held back."""
         if request.method != "POST":
-            return own_answer(405, "post it")
+            return local_answer(405, "post it")
         if not self.release(fingerprint):
-            return own_answer(404, "no such request is suspected")
-        return own_answer(200, "released")
+            return local_answer(404, "no such request is suspected")
+        return local_answer(200, "released")
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -23,7 +23,7 @@
 from sequoiaspoke.sidecar.coldwatch import ColdWatch
 from sequoiaspoke.sidecar.crashwatch import CrashWatch, Sent
 from sequoiaspoke.sidecar.downwatch import DownWatch
-from sequoiaspoke.sidecar.homecall import Running
+from sequoiaspoke.sidecar.homecall import ActiveCall
 from sequoiaspoke.sidecar.suspicion import Suspicion
 from sequoiaspoke.sidecar.upstream import UNREACHABLE
 
@@ -68,7 +68,7 @@
         self.log = log
         self.admission = Admission(UNKNOWN_SLOTS)
         self.ledger = Ledger()
-        self.calls: dict[Hashable, Running] = {}
+        self.calls: dict[Hashable, ActiveCall] = {}
         self.leaving = False
         self.evacuated = False
         self.taken_back_at = 0
@@ -96,7 +96,7 @@
             self.counts["asked-again"] += 1
             running = self.calls.get(key)
             if running is not None:
-                running.tell = tell
+                running.on_outcome = tell
             else:
                 tell(known.outcome or Unknown("answer-forgotten"))
             return
@@ -122,7 +122,7 @@
             tell(NotRun(refused.reason, refused.retry_after))
             return
         self.ledger.begin(key)
-        self.calls[key] = Running(call, tell)
+        self.calls[key] = ActiveCall(call, tell)
         if refused is not None:
             self.give_up(refused)
         self.advance()
@@ -180,7 +180,7 @@
             running.task = asyncio.ensure_future(self.run(arrival.ticket, running))
             running.task.add_done_callback(partial(self.ended, arrival.ticket))
 
-    async def run(self, key: Hashable, running: Running) -> None:
+    async def run(self, key: Hashable, running: ActiveCall) -> None:
         """Run a call at the upstream."""
         call = running.call
         outcome: Outcome | None = None
@@ -261,8 +261,8 @@
                 waiting=self.admission.waiting,
                 load=str(self.load) if self.load else "untold",
             )
-        if not running.dropped:
-            running.tell(outcome)
+        if not running.cancelled:
+            running.on_outcome(outcome)
 
     def give_up(self, refused: Refused) -> None:
         """Refuse a call that has waited for nothing."""
@@ -314,10 +314,10 @@
         if running is None:
             return
         if self.admission.cancel(key):
-            running.dropped = True
+            running.cancelled = True
             self.finish(key, NotRun("cancelled"))
         elif running.call.idempotent and running.task is not None:
-            running.dropped = True
+            running.cancelled = True
             running.task.cancel()
 
     def tick(self, now: float) -> None:
--- a/sequoiaspoke/sidecar/homecall.py
+++ b/sequoiaspoke/sidecar/homecall.py
@@ -33,10 +33,10 @@
 
 
 @dataclass
-class Running:
+class ActiveCall:
     """A call that waits for a slot or runs, and who hears what came of it."""
 
     call: HomeCall
-    tell: Callable[[Outcome], None]
+    on_outcome: Callable[[Outcome], None]
     task: asyncio.Task[None] | None = None
-    dropped: bool = False
+    cancelled: bool = False
--- a/sequoiaspoke/sidecar/httpclient.py
+++ b/sequoiaspoke/sidecar/httpclient.py
@@ -22,7 +22,7 @@
     find_header,
 )
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.httptext import BODILESS
+from sequoiaspoke.sidecar.httptext import BODILESS_STATUSES
 from sequoiaspoke.sidecar.sockets import Connection
 
 if TYPE_CHECKING:
@@ -30,10 +30,10 @@
     from sequoiaspoke.sidecar.deadlines import Deadlines
 
 # Seconds for a connection to open; it goes over loopback or inside a data centre.
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT = 1.0
 # Largest answer that is held; whole answers are, so that one cut short is told
 # from a complete one before the first byte goes to the caller.
-ANSWER_BYTES = 8 << 20
+MAX_ANSWER_BYTES = 8 << 20
 # Seconds for which an idle connection is used again if the server names none, and
 # what is taken off the time it names, for its clock and the way.
 IDLE_SECONDS, IDLE_MARGIN = 3.0, 1.0
@@ -60,7 +60,7 @@
     connecting = asyncio.get_running_loop().create_connection(
         lambda: ClientConnection(call_header, deadlines), *address
     )
-    async with asyncio.timeout(CONNECT_SECONDS):
+    async with asyncio.timeout(CONNECT_TIMEOUT):
         _, connection = await connecting
     return connection
 
@@ -70,7 +70,7 @@
 
     Attributes
     ----------
-    answering : bool
+    answer_started : bool
         Whether anything of an answer has come since the last request.
     """
 
@@ -78,27 +78,27 @@
         super().__init__()
         self.call_header = call_header
         self.deadlines = deadlines
-        self.waiting: asyncio.Future[Answer | Unknown] | None = None
+        self.pending: asyncio.Future[Answer | Unknown] | None = None
         self.call_id = ""
         self.head_only = False
-        self.tainted = False
-        self.answering = False
-        self.used = clock.now()
+        self.not_reusable = False
+        self.answer_started = False
+        self.last_used = clock.now()
         self.idle_seconds = IDLE_SECONDS
-        self.begin_answer()
+        self.reset_answer()
         self.parser = httptools.HttpResponseParser(self)
 
-    def begin_answer(self) -> None:
+    def reset_answer(self) -> None:
         """Begin to collect an answer."""
         self.status = 0
         self.headers: list[tuple[str, str]] = []
         self.body: list[bytes] = []
-        self.size = 0
+        self.body_size = 0
         self.until_close = False
 
     def received(self, data: bytes) -> None:
         """Take bytes of the server, also while no call waits."""
-        if self.waiting is None:
+        if self.pending is None:
             # Nothing is due here.
             self.close()
             return
@@ -116,18 +116,18 @@
 
     def fail(self, reason: str) -> None:
         """Tell the call that waits that nobody knows what became of it."""
-        self.tainted = True
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(Unknown(reason))
+        self.not_reusable = True
+        if self.pending is not None and not self.pending.done():
+            self.pending.set_result(Unknown(reason))
 
     # Called by the parser.
 
     def on_message_begin(self) -> None:
         """Begin an answer; a second one taints the connection."""
-        self.answering = True
-        if self.waiting is None or self.waiting.done():
-            self.tainted = True
-        self.begin_answer()
+        self.answer_started = True
+        if self.pending is None or self.pending.done():
+            self.not_reusable = True
+        self.reset_answer()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header."""
@@ -137,17 +137,19 @@
         """Take the end of the head."""
         self.status = self.parser.get_status_code()
         headers = tuple(self.headers)
-        framed = find_header(headers, "content-length") or "chunked" in find_header(
+        has_length = find_header(headers, "content-length") or "chunked" in find_header(
             headers, "transfer-encoding"
         )
-        bodiless = self.status in BODILESS or self.status < 200 or self.head_only
-        self.until_close = not framed and not bodiless
-        self.tainted |= self.until_close
+        bodiless = (
+            self.status in BODILESS_STATUSES or self.status < 200 or self.head_only
+        )
+        self.until_close = not has_length and not bodiless
+        self.not_reusable |= self.until_close
 
     def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
-        self.size += len(data)
-        if self.size > ANSWER_BYTES:
+        self.body_size += len(data)
+        if self.body_size > MAX_ANSWER_BYTES:
             self.fail("answer-too-large")
             self.body.clear()
         else:
@@ -160,22 +162,22 @@
 
     def complete(self) -> None:
         """Hand a whole answer to the call that waits for it."""
-        if self.waiting is None or self.waiting.done():
-            self.tainted = True
+        if self.pending is None or self.pending.done():
+            self.not_reusable = True
             return
         headers = tuple(self.headers)
         echoed = find_header(headers, self.call_header)
         if echoed and echoed != self.call_id:
             # The late second answer to a call before; ours is still to come.
             return
-        self.note_keep_alive(headers)
+        self.read_keep_alive(headers)
         answer = Answer(self.status, headers, b"".join(self.body))
-        self.waiting.set_result(answer)
+        self.pending.set_result(answer)
 
-    def note_keep_alive(self, headers: Headers) -> None:
+    def read_keep_alive(self, headers: Headers) -> None:
         """Take the server's word on how long the connection stays open."""
         if "close" in find_header(headers, "connection").lower():
-            self.tainted = True
+            self.not_reusable = True
         for part in find_header(headers, "keep-alive").split(","):
             name, _, value = part.strip().partition("=")
             if name == "timeout" and value.isdigit():
@@ -191,24 +193,24 @@
         """
         self.call_id = call_id
         self.head_only = head
-        self.answering = False
-        self.waiting = asyncio.get_running_loop().create_future()
-        limit = self.deadlines.at(deadline, self.timed_out)
+        self.answer_started = False
+        self.pending = asyncio.get_running_loop().create_future()
+        timer = self.deadlines.call_at(deadline, self.timed_out)
         self.write(text)
         if self.closed:
             self.fail(CONNECTION_LOST)
         try:
-            outcome = await self.waiting
+            outcome = await self.pending
         except asyncio.CancelledError:
             self.close()
             raise
         finally:
-            limit.cancel()
-            self.waiting = None
+            timer.cancel()
+            self.pending = None
         if self.unsent_bytes():
             # Answered before it was sent whole: the rest would be read as a request.
-            self.tainted = True
-        self.used = clock.now()
+            self.not_reusable = True
+        self.last_used = clock.now()
         return outcome
 
     def timed_out(self) -> None:
@@ -218,14 +220,14 @@
 
     def usable(self, idempotent: bool, now: float) -> bool:
         """Return whether the next call may take this connection."""
-        if self.tainted or self.closed:
+        if self.not_reusable or self.closed:
             return False
         limit = (
             self.idle_seconds if idempotent else min(self.idle_seconds, FRESH_SECONDS)
         )
-        return now - self.used < limit
+        return now - self.last_used < limit
 
     def close(self) -> None:
         """End the connection; a server drops the call that runs on it."""
-        self.tainted = True
+        self.not_reusable = True
         super().close()
--- a/sequoiaspoke/sidecar/httptext.py
+++ b/sequoiaspoke/sidecar/httptext.py
@@ -26,7 +26,7 @@
         "expect",
     }
 )
-BODILESS = frozenset({204, 304})
+BODILESS_STATUSES = frozenset({204, 304})
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -42,7 +42,7 @@
     return tuple(pair for pair in headers if pair[0].lower() not in dropped)
 
 
-def request_text(request: Request, extra: Headers) -> bytes:
+def encode_request(request: Request, extra: Headers) -> bytes:
     """Return the bytes of a request."""
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers]
@@ -53,7 +53,7 @@
     return head.encode("latin-1") + request.body
 
 
-def answer_text(answer: Answer, close: bool, head_only: bool = False) -> bytes:
+def encode_answer(answer: Answer, close: bool, head_only: bool = False) -> bytes:
     """Return the bytes of an answer.
 
     Parameters
@@ -69,7 +69,7 @@
         phrase = "Status"
     lines = [f"HTTP/1.1 {answer.status} {phrase}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
-    if answer.status not in BODILESS and not head_only:
+    if answer.status not in BODILESS_STATUSES and not head_only:
         lines.append(f"Content-Length: {len(answer.body)}")
     if close:
         lines.append("Connection: close")
@@ -77,7 +77,7 @@
     return head if head_only else head + answer.body
 
 
-def own_answer(status: int, reason: str, retry_after: float | None = None) -> Answer:
+def local_answer(status: int, reason: str, retry_after: float | None = None) -> Answer:
     """Return an answer that this node gives in the upstream's place."""
     headers = [("Content-Type", "text/plain")]
     if retry_after is not None:
--- a/sequoiaspoke/sidecar/race.py
+++ b/sequoiaspoke/sidecar/race.py
@@ -16,7 +16,7 @@
     from sequoiaspoke.core.mesh.placing import News
 
 # Statuses of an upstream after which a call that may run twice is tried elsewhere.
-TRY_ELSEWHERE = frozenset({500, 502, 503})
+RETRYABLE_STATUSES = frozenset({500, 502, 503})
 
 
 @dataclass
@@ -43,17 +43,17 @@
     tried: set[Incarnation] = field(default_factory=set)
     reached: int = 0
     may_have_run: bool = False
-    fruitless: int = 0
+    unreached: int = 0
     retry_after: float = float("inf")
-    last: Outcome | None = None
+    last_outcome: Outcome | None = None
     race: Race | None = None
-    over: bool = False
+    expired: bool = False
 
-    def time_over(self) -> None:
+    def expire(self) -> None:
         """End the wait for an outcome, as the call's time is over."""
-        self.over = True
+        self.expired = True
         if self.race is not None:
-            self.race.give_up()
+            self.race.time_out()
 
 
 class Attempt:
@@ -61,7 +61,7 @@
 
     Attributes
     ----------
-    call_off : callable
+    cancel_at_home : callable
         Tells the home that nobody waits any more.
     on_end, on_cancel : callable
         Told of its outcome, or that it was called off.
@@ -80,25 +80,25 @@
         self.progress = progress
         self.endpoint = endpoint
         self.race = race
-        self.over = False
-        self.call_off: Callable[[], None] | None = None
+        self.finished = False
+        self.cancel_at_home: Callable[[], None] | None = None
 
-    def take(self, outcome: Outcome, news: News) -> None:
+    def finish(self, outcome: Outcome, report: News) -> None:
         """Take what came of the attempt, and the home's word with it."""
-        if self.over:
+        if self.finished:
             return
-        self.over = True
-        self.on_end(self, outcome, news)
-        self.race.take(self, outcome)
+        self.finished = True
+        self.on_end(self, outcome, report)
+        self.race.attempt_finished(self, outcome)
 
     def cancel(self) -> None:
         """Call the attempt off."""
-        if self.over:
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         self.on_cancel(self)
-        if self.call_off is not None:
-            self.call_off()
+        if self.cancel_at_home is not None:
+            self.cancel_at_home()
 
 
 class Race:
@@ -109,22 +109,22 @@
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
-        self.decided: asyncio.Future[tuple[Endpoint, Outcome]] = (
+        self.result: asyncio.Future[tuple[Endpoint, Outcome]] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def take(self, attempt: Attempt, outcome: Outcome) -> None:
+    def attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
         """Take what came of an attempt."""
-        if self.decided.done():
+        if self.result.done():
             return
-        good = isinstance(outcome, Answer) and outcome.status not in TRY_ELSEWHERE
-        if good or all(each.over for each in self.attempts):
-            self.decided.set_result((attempt.endpoint, outcome))
+        good = isinstance(outcome, Answer) and outcome.status not in RETRYABLE_STATUSES
+        if good or all(each.finished for each in self.attempts):
+            self.result.set_result((attempt.endpoint, outcome))
 
-    def give_up(self) -> None:
+    def time_out(self) -> None:
         """End the race undecided."""
-        if not self.decided.done():
-            self.decided.set_exception(TimeoutError())
+        if not self.result.done():
+            self.result.set_exception(TimeoutError())
 
     def cancel(self) -> None:
         """Call off whatever is still under way."""
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -16,7 +16,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.deadlines import Deadlines
 from sequoiaspoke.sidecar.httpclient import FRESH_SECONDS, connect, open_connection
-from sequoiaspoke.sidecar.httptext import end_to_end, request_text
+from sequoiaspoke.sidecar.httptext import encode_request, end_to_end
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -90,7 +90,7 @@
         connection = self.reuse(idempotent) or await self.connect()
         if connection is None:
             return NotRun(UNREACHABLE)
-        idle = clock.now() - connection.used
+        idle = clock.now() - connection.last_used
         left = deadline - clock.now()
         if left <= 0:
             self.release(connection)
@@ -100,7 +100,7 @@
             (self.names.instance, instance),
         )
         call_id = request.header(self.names.call_id)
-        text = request_text(request, extra)
+        text = encode_request(request, extra)
         if connection.closed:
             return NotRun("connection-closed")
         begun = clock.now()
@@ -114,7 +114,7 @@
             # A connection that idled for long may have been forgotten.
             soon = max(RESET_SECONDS, RESET_PART * self.usual_seconds)
             full = seconds < soon and idle < FRESH_SECONDS
-            silent = outcome.reason == CONNECTION_LOST and not connection.answering
+            silent = outcome.reason == CONNECTION_LOST and not connection.answer_started
             return Unknown(RESET_AT_ONCE) if full and silent else outcome
         usual = self.usual_seconds or seconds
         self.usual_seconds = usual + NEWEST * (seconds - usual)
@@ -186,7 +186,7 @@
 
     def release(self, connection: ClientConnection) -> None:
         """Keep a connection for the next call, or close it."""
-        if connection.tainted or connection.closed:
+        if connection.not_reusable or connection.closed:
             connection.close()
             return
         self.idle.append(connection)
--- a/sequoiaspoke/tests/test_callerserver.py
+++ b/sequoiaspoke/tests/test_callerserver.py
@@ -7,7 +7,7 @@
 from tornado.netutil import bind_sockets
 
 from sequoiaspoke.core.mesh.outcome import Answer
-from sequoiaspoke.sidecar.callerserver import READ_AHEAD, CallerServer
+from sequoiaspoke.sidecar.callerserver import MAX_PIPELINED, CallerServer
 
 WAIT = 20.0  # seconds; only a failing test waits so long
 
@@ -170,12 +170,12 @@
     def test_requests_read_ahead_are_bounded(self):
         async def scenario(reader, writer):
             one = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
-            for _ in range(READ_AHEAD):
+            for _ in range(MAX_PIPELINED):
                 writer.write(one)
                 await asyncio.sleep(0)
-            await self.until(lambda: len(self.handler.begun) >= READ_AHEAD)
+            await self.until(lambda: len(self.handler.begun) >= MAX_PIPELINED)
             self.handler.gate.set()
-            for _ in range(READ_AHEAD):
+            for _ in range(MAX_PIPELINED):
                 await reader.readuntil(b"/a")
 
         self.play(scenario)
--- a/sequoiaspoke/tests/test_mesh_property.py
+++ b/sequoiaspoke/tests/test_mesh_property.py
@@ -62,14 +62,14 @@
         self.caught("ran 2 times")
 
     def test_an_order_of_unknown_outcome_is_not_sent_elsewhere(self):
-        decide = Entry.repeat_allowed
+        decide = Entry.may_retry
 
         def careless(self, progress, outcome):
             if isinstance(outcome, Unknown):
                 return self.attempts.choose(progress) is not None
             return decide(self, progress, outcome)
 
-        self.patch(Entry, "repeat_allowed", careless)
+        self.patch(Entry, "may_retry", careless)
         self.caught("ran 2 times")
 
     def test_a_home_that_restarted_is_not_asked_for_calls_of_the_one_before(self):
@@ -95,5 +95,5 @@
         async def patient(self, progress):
             return await self.serve(progress)
 
-        self.patch(Entry, "in_time", patient)
+        self.patch(Entry, "serve_until_deadline", patient)
         self.caught("answered late")
--- a/sequoiaspoke/tests/test_sidecar_deadlines.py
+++ b/sequoiaspoke/tests/test_sidecar_deadlines.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.sidecar import clock
-from sequoiaspoke.sidecar.deadlines import SWEEP_FIRST, Deadlines
+from sequoiaspoke.sidecar.deadlines import MIN_SWEEP_SIZE, Deadlines
 from sequoiaspoke.tests.meshsim import VirtualLoop
 
 
@@ -25,7 +25,7 @@
     def test_each_runs_at_its_time_in_whatever_order_they_were_set(self):
         async def scenario(deadlines):
             for name, seconds in (("c", 3.0), ("a", 1.0), ("b", 2.0)):
-                deadlines.at(clock.now() + seconds, self.note(name))
+                deadlines.call_at(clock.now() + seconds, self.note(name))
             await asyncio.sleep(10)
 
         self.play(scenario)
@@ -33,8 +33,8 @@
 
     def test_what_was_called_off_does_not_run(self):
         async def scenario(deadlines):
-            first = deadlines.at(clock.now() + 1.0, self.note("a"))
-            deadlines.at(clock.now() + 2.0, self.note("b"))
+            first = deadlines.call_at(clock.now() + 1.0, self.note("a"))
+            deadlines.call_at(clock.now() + 2.0, self.note("b"))
             first.cancel()
             await asyncio.sleep(10)
 
@@ -47,8 +47,8 @@
         async def scenario(deadlines):
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda *_: None)
-            deadlines.at(clock.now() + 1.0, lambda: 1 // 0)
-            deadlines.at(clock.now() + 1.0, self.note("b"))
+            deadlines.call_at(clock.now() + 1.0, lambda: 1 // 0)
+            deadlines.call_at(clock.now() + 1.0, self.note("b"))
             await asyncio.sleep(10)
 
         self.play(scenario)
@@ -56,9 +56,9 @@
 
     def test_a_node_that_ends_runs_all_before(self):
         async def scenario(deadlines):
-            deadlines.at(clock.now() + 30.0, self.note("a"))
+            deadlines.call_at(clock.now() + 30.0, self.note("a"))
             deadlines.cap(clock.now() + 2.0)
-            deadlines.at(clock.now() + 40.0, self.note("b"))
+            deadlines.call_at(clock.now() + 40.0, self.note("b"))
             await asyncio.sleep(50)
 
         self.play(scenario)
@@ -72,7 +72,7 @@
             arm = deadlines.arm
             deadlines.arm = lambda: (armed.append(1), arm())
             for number in range(10):
-                deadlines.at(clock.now() + 1.00037 + number, self.note(number))
+                deadlines.call_at(clock.now() + 1.00037 + number, self.note(number))
             await asyncio.sleep(20)
             return len(armed)
 
@@ -82,8 +82,8 @@
         # Nearly all calls end in time. Kept until their deadlines, 15 s of calls would
         # stand in memory.
         async def scenario(deadlines):
-            for _ in range(50 * SWEEP_FIRST):
-                deadlines.at(clock.now() + 15.0, self.note("a")).cancel()
+            for _ in range(50 * MIN_SWEEP_SIZE):
+                deadlines.call_at(clock.now() + 15.0, self.note("a")).cancel()
             return len(deadlines.heap)
 
-        self.assertTrue(self.play(scenario) <= SWEEP_FIRST + 1)
+        self.assertTrue(self.play(scenario) <= MIN_SWEEP_SIZE + 1)
--- a/sequoiaspoke/tests/test_sidecar_entry.py
+++ b/sequoiaspoke/tests/test_sidecar_entry.py
@@ -53,13 +53,13 @@
     script = {}
     sent = ()
 
-    def begin(self, attempt):
+    def send_to_home(self, attempt):
         instance = attempt.endpoint.instance
         self.sent += (instance,)
         outcome = self.script[instance]
         if outcome is not None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(attempt.take, outcome, News())
+            loop.call_soon(attempt.finish, outcome, News())
 
 
 def route(name, idempotent):
@@ -67,7 +67,7 @@
     return Route(name, "x.example", f"/{name}/", idempotent, 5.0, 1.0, 1, 2, split)
 
 
-def entry(script):
+def make_entry(script):
     """Return an entry that knows one endpoint for each line of the script."""
     names, log = HeaderNames(), EventLog("x-request-id")
     state = MeshState(NoItems(), log, lambda: None)
@@ -84,10 +84,10 @@
     spread = Spread(state, ReadingDuty("10.0.9.9", "akaki"), log)
     peers = Peers(identity, 1, state, spread, rng, log, TcpDialer())
     limits = RepeatLimits(0.2, 500, 10)
-    made = Entry("fleet", {}, names, state, home, peers, limits, rng, log)
-    made.attempts = ScriptedAttempts(state, home, peers, limits, {}, log)
-    made.attempts.script = script
-    return made
+    entry = Entry("fleet", {}, names, state, home, peers, limits, rng, log)
+    entry.attempts = ScriptedAttempts(state, home, peers, limits, {}, log)
+    entry.attempts.script = script
+    return entry
 
 
 def request(name, left=4000):
@@ -98,7 +98,7 @@
 class FinalAnswersTests(TestCase):
     def play(self, script, name, left=4000):
         async def run():
-            self.entry = entry(script)
+            self.entry = make_entry(script)
             async with asyncio.timeout(WAIT):
                 return await self.entry.handle(request(name, left))
 
@@ -146,11 +146,11 @@
         # This node cannot read the store. A caller uses a route that was added
         # meanwhile; told that there is none, it gives up for good.
         async def run():
-            made = entry({"a": SERVED})
-            made.state.as_of -= 60
-            stale = await made.handle(request("added"))
-            made.state.as_of += 60
-            fresh = await made.handle(request("added"))
+            entry = make_entry({"a": SERVED})
+            entry.state.as_of -= 60
+            stale = await entry.handle(request("added"))
+            entry.state.as_of += 60
+            fresh = await entry.handle(request("added"))
             return stale.status, fresh.status
 
         self.assertEqual(asyncio.run(run()), (503, 404))
@@ -159,10 +159,10 @@
 class HedgingTests(TestCase):
     def test_a_second_endpoint_answers_beside_one_that_hangs(self):
         async def run():
-            made = entry({"a": None, "b": None})
-            made.attempts.script["b"] = SERVED
+            entry = make_entry({"a": None, "b": None})
+            entry.attempts.script["b"] = SERVED
             async with asyncio.timeout(WAIT):
-                return await made.handle(request("read")), made.attempts.sent
+                return await entry.handle(request("read")), entry.attempts.sent
 
         answer, sent = asyncio.run(run())
         self.assertEqual(answer.status, 200)
@@ -170,9 +170,9 @@
 
     def test_an_order_is_never_sent_beside_itself(self):
         async def run():
-            made = entry({"a": None, "b": None})
-            answer = await made.handle(request("order", left=600))
-            return answer.status, made.attempts.sent
+            entry = make_entry({"a": None, "b": None})
+            answer = await entry.handle(request("order", left=600))
+            return answer.status, entry.attempts.sent
 
         status, sent = asyncio.run(run())
         self.assertEqual((status, len(sent)), (504, 1))
@@ -181,10 +181,10 @@
 class StoppingTests(TestCase):
     def play(self, usual):
         async def run():
-            made = entry({"a": SERVED})
-            made.attempts.placing.mean["order"] = usual
-            made.closes_at = clock.now() + 1.0
-            return await made.handle(request("order")), made.attempts.sent
+            entry = make_entry({"a": SERVED})
+            entry.attempts.placing.mean["order"] = usual
+            entry.closes_at = clock.now() + 1.0
+            return await entry.handle(request("order")), entry.attempts.sent
 
         return asyncio.run(run())
 
@@ -205,9 +205,9 @@
         # after the long call, which outlasts the node. The connection ended without
         # a word, and the page had run for nothing.
         async def run():
-            made = entry({"a": SERVED, "b": None})
-            made.attempts.choose = lambda progress: self.by_route(made, progress)
-            server = CallerServer(made.handle, self.fail)
+            entry = make_entry({"a": SERVED, "b": None})
+            entry.attempts.choose = lambda progress: self.by_route(entry, progress)
+            server = CallerServer(entry.handle, self.fail)
             (socket,) = bind_sockets(0, "127.0.0.1")
             server.add_sockets([socket])
             reader, writer = await asyncio.open_connection(*socket.getsockname()[:2])
@@ -217,9 +217,9 @@
                     f"X-Request-Id: {name}\r\nX-Time-Left-Ms: 5000\r\n\r\n".encode()
                 )
             async with asyncio.timeout(WAIT):
-                while len(made.attempts.sent) < 2:
+                while len(entry.attempts.sent) < 2:
                     await asyncio.sleep(0.001)
-                made.stop_at(clock.now() + 0.05)
+                entry.stop_at(clock.now() + 0.05)
                 seen = b""
                 while seen.count(b"HTTP/1.1") < 2:
                     seen += await reader.read(65536)
@@ -233,18 +233,18 @@
         self.assertTrue(seen.endswith(b"served"), seen)
         self.assertTrue(clock.now() - begun < 4.0)
 
-    def by_route(self, made, progress):
+    def by_route(self, entry, progress):
         """Return the endpoint that never answers for orders, the other for reads."""
         wanted = "b" if progress.route.name == "order" else "a"
-        held = made.state.directory.held.values()
+        held = entry.state.directory.held.values()
         return next(e.endpoint for e in held if e.endpoint.instance == wanted)
 
     def test_a_call_taken_while_stopping_is_answered_before_the_end(self):
         async def run():
-            made = entry({"a": None})
-            made.stop_at(clock.now() + 0.5)
-            made.attempts.placing.mean["order"] = 0.05
-            return (await made.handle(request("order"))).status
+            entry = make_entry({"a": None})
+            entry.stop_at(clock.now() + 0.5)
+            entry.attempts.placing.mean["order"] = 0.05
+            return (await entry.handle(request("order"))).status
 
         self.assertEqual(asyncio.run(run()), 504)
 
@@ -254,11 +254,11 @@
         # The VM is suspended for a minute while a call is under way. Its clock for
         # timers stood still, so the timer still has its five seconds to go.
         async def run():
-            made = entry({"a": None})
-            call = asyncio.ensure_future(made.handle(request("order", left=5000)))
-            while not made.attempts.sent:
+            entry = make_entry({"a": None})
+            call = asyncio.ensure_future(entry.handle(request("order", left=5000)))
+            while not entry.attempts.sent:
                 await asyncio.sleep(0)
-            made.woke(clock.now() + 60)
+            entry.vm_resumed(clock.now() + 60)
             begun = clock.now()
             answer = await call
             return answer.status, clock.now() - begun
@@ -271,11 +271,11 @@
         # The VM wakes just as the timer of a call runs out. Set right once more, the
         # timer raises an error, and the process ended with all its calls.
         async def run():
-            made = entry({"a": None})
-            call = asyncio.ensure_future(made.handle(request("order", left=1)))
-            while not made.attempts.sent or made.deadlines.heap:
+            entry = make_entry({"a": None})
+            call = asyncio.ensure_future(entry.handle(request("order", left=1)))
+            while not entry.attempts.sent or entry.deadlines.heap:
                 await asyncio.sleep(0)
-            made.woke(clock.now() + 60)
+            entry.vm_resumed(clock.now() + 60)
             return (await call).status
 
         self.assertEqual(asyncio.run(run()), 504)
