--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -1,4 +1,4 @@
-"""Try endpoints for a call, one after the other or a second beside the first."""
+"""Make the attempts of a call, one after the other or hedged with a second one."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Attempts:
-    """Chooses endpoints, has their homes run calls and learns from what comes of it.
+    """Chooses endpoints, sends calls to their homes and learns from the outcomes.
 
     Attributes
     ----------
@@ -63,12 +63,12 @@
         peers.on_news = self.load_reported
 
     def take_retry(self, service: str) -> bool:
-        """Take a repeat out of the budget of a service if there is room."""
+        """Take a retry out of a service's budget; return whether there was room."""
         budget = self.budgets.of(service)
         return budget.spend(self.peers.nodes(), clock.now())
 
     def choose(self, progress: Progress) -> Endpoint | None:
-        """Return the endpoint of the next attempt."""
+        """Return the endpoint for the next attempt, None if there is none."""
         if self.suspected(progress):
             return self.suspect_endpoint(progress)
         now = clock.now()
@@ -84,8 +84,8 @@
     def suspect_endpoint(self, progress: Progress) -> Endpoint | None:
         """Return the endpoint to which all entries send a suspected request.
 
-        There one copy of it runs after the other, so that it can crash one upstream
-        and not all of them at once.
+        Its home runs the copies one after the other, so that the request can crash
+        only one upstream at a time.
         """
         group = self.state.directory.group(progress.service)
         by_instance = {each.instance: each for each in group.endpoints}
@@ -95,7 +95,7 @@
         return None
 
     def candidates(self, progress: Progress) -> list[Endpoint]:
-        """Return the endpoints among which an attempt's is chosen."""
+        """Return a sample of the eligible endpoints to choose from."""
         group = self.state.directory.group(progress.service)
         same_zone = group.in_zone(self.peers.identity.zone)
         return self.sample.candidates(
@@ -103,7 +103,7 @@
         )
 
     def eligible(self, progress: Progress, endpoint: Endpoint) -> bool:
-        """Return whether a call may be tried at an endpoint."""
+        """Return whether a call may be sent to an endpoint."""
         return (
             endpoint.incarnation not in progress.tried
             and self.allowed(progress.route, endpoint)
@@ -113,7 +113,7 @@
     def allowed(self, route: Route, endpoint: Endpoint) -> bool:
         """Return whether a route's calls may be sent to the region of an endpoint.
 
-        A zone of which no region is known may lie anywhere.
+        A zone without a known region is allowed only by routes that name no regions.
         """
         return not route.regions or self.regions.get(endpoint.zone) in route.regions
 
@@ -125,11 +125,11 @@
         return "zones-evacuated" if directory.grouping.closed_zones else "no-endpoint"
 
     def has_candidates(self, progress: Progress) -> bool:
-        """Return whether there is an endpoint that a call was not tried at."""
+        """Return whether there is an eligible endpoint not yet tried for a call."""
         return bool(self.candidates(progress))
 
     def usable(self, endpoint: Endpoint) -> bool:
-        """Return whether calls to an endpoint are worth a try."""
+        """Return whether an endpoint's home can be reached and accepts calls."""
         if endpoint.host == self.peers.identity.host:
             return not self.home.leaving
         return self.peers.reachable(endpoint)
@@ -137,13 +137,13 @@
     async def call(
         self, progress: Progress, endpoint: Endpoint
     ) -> tuple[Endpoint, Outcome]:
-        """Try an endpoint, and a second one beside it if the first takes too long.
+        """Send a call to an endpoint and hedge it at a second if it takes too long.
 
-        An upstream that has just turned slow, or whose answer was lost, is known by
-        nothing else; the call would wait for it until its time is over.
+        Without the hedge, a call to an upstream that has just turned slow or whose
+        answer was lost would wait until its deadline.
         """
         if progress.expired:
-            # Its time ran out between two attempts.
+            # The deadline passed between two attempts.
             raise TimeoutError
         race = progress.race = Race()
         self.start(progress, endpoint, race)
@@ -170,11 +170,11 @@
         return self.home.suspicion.suspected(progress.service, progress.request)
 
     def quarantine_seconds(self, progress: Progress) -> float:
-        """Return for how much longer a call's request is held back."""
+        """Return the seconds for which a call's request stays in quarantine."""
         return self.home.suspicion.held_seconds(progress.service, progress.request)
 
     def start(self, progress: Progress, endpoint: Endpoint, race: Race) -> None:
-        """Begin an attempt."""
+        """Start an attempt at an endpoint."""
         attempt = Attempt(
             progress, endpoint, race, self.attempt_ended, self.attempt_cancelled
         )
@@ -183,7 +183,7 @@
         self.send_to_home(attempt)
 
     def hedge(self, progress: Progress, race: Race) -> None:
-        """Try a call at a second endpoint beside the first, if that may be done."""
+        """Start a second attempt at another endpoint if limits and budget allow."""
         (first,) = race.attempts
         if first.finished or progress.reached + 2 > progress.route.attempts:
             return
@@ -207,7 +207,7 @@
         self.start(progress, second, race)
 
     def send_to_home(self, attempt: Attempt) -> None:
-        """Have the home of an endpoint run the call."""
+        """Submit the call to the home of the attempt's endpoint."""
         progress, endpoint = attempt.progress, attempt.endpoint
         call = HomeCall(
             progress.request,
@@ -226,7 +226,7 @@
         attempt.cancel_at_home = partial(link.withdraw, pending)
 
     def run_locally(self, attempt: Attempt, call: HomeCall) -> None:
-        """Have the home of this node run a call."""
+        """Submit a call to this node's own home."""
         self.local_calls += 1
         key = ("here", self.local_calls)
         attempt.cancel_at_home = partial(self.home.cancel, key)
@@ -237,7 +237,7 @@
         self.home.submit(key, call, on_outcome)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: News) -> None:
-        """Learn from what came of an attempt."""
+        """Take crash report, load report and outcome of a finished attempt."""
         incarnation, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
             self.home.suspicion.learn([outcome.crash])
@@ -246,11 +246,11 @@
         self.record_outcome(attempt.progress, incarnation, outcome, now)
 
     def attempt_cancelled(self, attempt: Attempt) -> None:
-        """Note that an attempt was called off."""
+        """Note that an attempt was cancelled."""
         self.placing.end(attempt.endpoint.incarnation)
 
     def load_reported(self, host: str, report: News) -> None:
-        """Take a home's word that came without a call."""
+        """Take a load report that a home sent without an answer."""
         now = clock.now()
         for endpoint in self.state.directory.at_host(host):
             self.placing.load(endpoint.incarnation, "", report, now)
@@ -258,7 +258,7 @@
     def record_outcome(
         self, progress: Progress, incarnation: Incarnation, outcome: Outcome, now: float
     ) -> None:
-        """Learn from what came of an attempt."""
+        """Update the statistics of an upstream with the outcome of an attempt."""
         if isinstance(outcome, Answer):
             if outcome.status in RETRYABLE_STATUSES:
                 self.placing.failed(incarnation, now)
--- a/sequoiaspoke/sidecar/callerserver.py
+++ b/sequoiaspoke/sidecar/callerserver.py
@@ -1,10 +1,10 @@
 """Serve callers over HTTP/1.1.
 
-A connection is read on while its calls run: callers send several without waiting,
-and give up those that are not read within a second. The calls run side by side
-and are answered in the order in which they came. Reading on is also how a node
-learns that a caller has left: its calls are cancelled at once, so that no
-upstream works for nobody.
+A connection is read while its calls run, because callers pipeline requests and give
+up on those that are not read within a second. The calls of a connection run
+concurrently and are answered in the order of the requests. Reading also detects a
+caller that disconnects: its calls are cancelled at once, so that no upstream does
+work that nobody waits for.
 """
 
 from __future__ import annotations
@@ -27,20 +27,26 @@
     from sequoiaspoke.core.mesh.outcome import Answer
 
 HEAD_END = b"\r\n\r\n"
-# Calls read ahead on one connection; a caller with more waits for answers first.
+# Calls of one connection that may be unanswered before reading from it pauses.
 MAX_PIPELINED = 64
-# Bytes of request bodies that this node holds for all callers; above, calls are
-# refused until some have been answered.
+# Total size of the request bodies held for all callers; calls beyond it are refused
+# with 503.
 MAX_BODY_BYTES = 24 << 20
-# Bytes of answers that a caller has not read; beyond, its connection ends, as a
-# caller that stands still would fill this node's memory.
+# Size of the unread answers at which a connection is closed: a caller that does not
+# read would fill this node's memory.
 MAX_UNREAD_BYTES = 16 << 20
-# Seconds that a caller has to close after its last answer.
+# Seconds after the last answer of a connection in which the caller may close it.
 CLOSE_TIMEOUT = 1.0
 
 
 class Exchange:
-    """One request of a connection and the answer that is due in its turn."""
+    """A request of a connection and its answer, which is sent in its turn.
+
+    Attributes
+    ----------
+    keep_alive : bool
+        Whether the connection stays open after the answer.
+    """
 
     def __init__(self, request: Request | None, keep_alive: bool) -> None:
         self.request = request
@@ -50,7 +56,25 @@
 
 
 class CallerConnection(Connection):
-    """A caller's connection."""
+    """The connection of a caller.
+
+    Attributes
+    ----------
+    nested : bool
+        Whether the caller is the upstream beside this node.
+    pending : deque of Exchange
+        Requests whose answers have not been sent, in their order.
+    input_ended : bool
+        Whether whatever else the caller sends is ignored.
+    head_size : int
+        Bytes of the incomplete head so far.
+    chunk_body_bytes : int
+        Bytes of bodies in the data now parsed.
+    head_began_in_chunk : bool
+        Whether a request began in the data now parsed.
+    refused_status : int
+        Status with which a request is refused for the size of its body; 0 if it is not.
+    """
 
     def __init__(self, server: CallerServer) -> None:
         super().__init__()
@@ -65,13 +89,13 @@
         self.reset_request()
 
     def opened(self) -> None:
-        """Begin to serve."""
+        """Register the connection."""
         host, *_ = self.transport.get_extra_info("peername") or ("",)
         self.nested = host == self.server.upstream_host
         self.server.connections.add(self)
 
     def reset_request(self) -> None:
-        """Begin to collect a request."""
+        """Reset the state of the request that is parsed."""
         self.target = b""
         self.headers: list[tuple[str, str]] = []
         self.body: list[bytes] = []
@@ -84,10 +108,10 @@
         self.refused_status = 0
 
     def received(self, data: bytes) -> None:
-        """Take bytes of the caller.
+        """Parse data from the caller.
 
-        Also after the last request: a caller that leaves is noticed by nothing else,
-        and its call would run on for nobody. What comes then is not looked at.
+        Data after the last request is read and ignored: only by reading is a disconnect
+        detected, and without it the call would run on with nobody to answer.
         """
         self.last_active = clock.now()
         if self.input_ended:
@@ -102,7 +126,7 @@
             self.transport.pause_reading()
 
     def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
-        """Cancel the calls of a caller that has left."""
+        """Cancel the calls of a caller that has disconnected."""
         self.server.connections.discard(self)
         for exchange in self.pending:
             if exchange.task is not None:
@@ -110,13 +134,13 @@
         self.pending.clear()
 
     def parse(self, data: bytes) -> None:
-        """Take bytes of the caller."""
+        """Feed data to the parser and check the size of an incomplete head."""
         self.chunk_body_bytes = 0
         self.head_began_in_chunk = False
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Upgrades are not offered; the request itself was answered as usual.
+            # Upgrades are not supported; the request itself is served as usual.
             self.input_ended = True
         except httptools.HttpParserError:
             self.refuse(400, "malformed request")
@@ -125,9 +149,9 @@
                 self.check_head_size(data)
 
     def check_head_size(self, data: bytes) -> None:
-        """Refuse a head that is too large before it is complete."""
+        """Refuse an incomplete head that is already too large."""
         if self.head_began_in_chunk:
-            # Before it in this piece lie requests that are complete.
+            # The data before it belongs to complete requests.
             _, _, tail = data.rpartition(HEAD_END)
             self.head_size = len(tail) - self.chunk_body_bytes
         else:
@@ -138,28 +162,28 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self.reset_request()
         self.head_began_in_chunk = True
         self.request_started = clock.now()
 
     def on_url(self, data: bytes) -> None:
-        """Take a piece of the request target."""
+        """Append to the request target."""
         self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self.headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """Complete the head; answer `Expect: 100-continue`."""
         self.head_complete = True
         for name, value in self.headers:
             if name.lower() == "expect" and value.lower() == "100-continue":
                 self.write(CONTINUE)
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Append to the body unless it is too large."""
         self.body_size += len(data)
         self.chunk_body_bytes += len(data)
         if self.body_size > self.limits.body_bytes:
@@ -172,7 +196,7 @@
             self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Begin to serve a whole request."""
+        """Start to serve a complete request."""
         if self.input_ended:
             return
         keep_alive = self.parser.should_keep_alive()
@@ -195,13 +219,13 @@
             return
         self.server.body_bytes += len(request.body)
         exchange.task = asyncio.ensure_future(self.serve(exchange, request))
-        # Also if the caller leaves before the task has begun, which then runs nothing.
+        # In a callback, because a task cancelled before its start runs no code at all.
         exchange.task.add_done_callback(lambda _: self.server.release_body(request))
 
     # Answers.
 
     def refuse(self, status: int, reason: str) -> None:
-        """Answer something that is no request, after those before it."""
+        """Queue the answer to an invalid request and ignore further input."""
         exchange = Exchange(None, keep_alive=False)
         exchange.answer = local_answer(status, reason)
         self.pending.append(exchange)
@@ -210,17 +234,17 @@
         self.flush()
 
     async def serve(self, exchange: Exchange, request: Request) -> None:
-        """Have a call served and take its answer."""
+        """Call the handler and send its answer."""
         try:
             exchange.answer = await self.server.handle(request)
         except Exception as error:
-            # One call's fault must not end the calls of all others.
+            # An error in one call must not affect the others.
             self.server.on_crash(error)
             exchange.answer = local_answer(502, "internal error")
         self.flush()
 
     def flush(self) -> None:
-        """Write the answers whose turn it is."""
+        """Send the answers that are ready, in the order of their requests."""
         while self.pending and self.pending[0].answer is not None:
             exchange = self.pending.popleft()
             last = not self.pending
@@ -242,24 +266,24 @@
             self.transport.resume_reading()
 
     def write(self, data: bytes) -> None:
-        """Send bytes unless the caller has left or does not read."""
+        """Send data; close the connection of a caller that does not read."""
         if self.unsent_bytes() > MAX_UNREAD_BYTES:
             self.close()
         else:
             super().write(data)
 
     def half_close(self) -> None:
-        """Stop sending, and read what still comes before closing.
+        """Close the sending side and keep reading for a while before closing.
 
-        Closing with unread bytes resets the connection, and a reset can overtake the
-        last answer: a caller with pipelined requests would lose it.
+        Closing a connection with unread data resets it, and the reset can overtake the
+        last answer, so that a caller with pipelined requests would lose it.
         """
         if not self.closed:
             self.transport.write_eof()
             asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self.close)
 
     def tick(self, now: float) -> None:
-        """End what has idled or been incomplete for too long."""
+        """Close an idle connection; refuse a head that takes too long."""
         if self.pending or self.closed:
             return
         if self.request_started is not None and not self.head_complete:
@@ -270,14 +294,18 @@
 
 
 class CallerServer(ConnectionServer):
-    """Accepts callers.
+    """Accepts connections of callers.
 
     Attributes
     ----------
+    on_crash : callable
+        Called with an exception that a handler raised.
     closing : bool
-        Whether connections end with the answer that leaves them idle.
+        Whether a connection is closed after the answer that leaves it idle.
     upstream_host : str
         Address from which the upstream beside this node calls, empty if unknown.
+    body_bytes : int
+        Total size of the request bodies held.
     """
 
     def __init__(
@@ -296,22 +324,22 @@
         self.current_limits = CallerLimits()
 
     def limits(self) -> CallerLimits:
-        """Return what callers may do."""
+        """Return the limits for callers in force."""
         return self.current_limits
 
     def connection(self) -> CallerConnection:
-        """Return what serves the next caller."""
+        """Return the protocol for a new connection."""
         return CallerConnection(self)
 
     def release_body(self, request: Request) -> None:
-        """Note that a request is held no more."""
+        """Subtract a request's body from the total that is held."""
         self.body_bytes -= len(request.body)
 
     def tick(self, now: float) -> None:
-        """End connections that have idled for too long."""
+        """Check the timeouts of all connections."""
         for connection in list(self.connections):
             connection.tick(now)
 
     def busy(self) -> bool:
-        """Return whether a caller waits for an answer."""
+        """Return whether any caller waits for an answer."""
         return any(connection.pending for connection in self.connections)
--- a/sequoiaspoke/sidecar/deadlines.py
+++ b/sequoiaspoke/sidecar/deadlines.py
@@ -1,9 +1,8 @@
-"""Run callbacks at their times, of which nearly all are called off before.
+"""Run callbacks at given times; nearly all are cancelled before.
 
-Each call has a time by which its caller gets an answer, and each attempt one by which
-its upstream has to give it. A timer of the event loop for each costs more than the
-decision that it guards: they stand in one heap, and the loop keeps a timer for the
-first of them only.
+Each call has a deadline for the answer to its caller, and each attempt one for the
+answer of its upstream. An event loop timer for each would cost more than routing the
+call. So they are kept in one heap, and the loop has a timer only for the first.
 """
 
 from __future__ import annotations
@@ -17,15 +16,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds of one step of the event loop's timers. A timer set for less runs too early,
-# and would be set again in each turn of the loop until its time: 200 turns a second.
+# Resolution of the event loop's timers in seconds. A timer set for the exact time runs
+# a moment early and is set again in each turn of the loop, 200 times a second.
 TIMER_RESOLUTION = 0.001
-# Callbacks that stand before those called off are swept out for the first time.
+# Size of the heap below which cancelled callbacks are not removed.
 MIN_SWEEP_SIZE = 256
 
 
 class Deadline:
-    """A callback that is due at a time unless it is called off."""
+    """A callback that runs at a given time unless it is cancelled."""
 
     __slots__ = ("callback",)
 
@@ -33,17 +32,21 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Call it off."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Deadlines:
-    """The callbacks that are due at times of the clock that goes on.
+    """Callbacks to run at times of the clock that also advances during a suspend.
 
     Attributes
     ----------
     latest : float
-        Time after which nothing is left undone; infinite if there is none.
+        Time by which every callback has run; infinite if there is no limit.
+    sequence : int
+        Tie-breaker of the heap: callbacks due at one time run as they were scheduled.
+    sweep_size : int
+        Size of the heap above which cancelled callbacks are removed.
     """
 
     def __init__(self) -> None:
@@ -55,7 +58,7 @@
         self.sweep_size = MIN_SWEEP_SIZE
 
     def call_at(self, when: float, callback: Callable[[], None]) -> Deadline:
-        """Have a callback run at a time."""
+        """Schedule a callback and return its handle."""
         when = min(when, self.latest)
         deadline = Deadline(callback)
         self.sequence += 1
@@ -67,13 +70,13 @@
         return deadline
 
     def sweep(self) -> None:
-        """Forget what was called off."""
+        """Remove the cancelled callbacks."""
         self.heap = [each for each in self.heap if each[2].callback is not None]
         heapq.heapify(self.heap)
         self.sweep_size = max(MIN_SWEEP_SIZE, 2 * len(self.heap))
 
     def arm(self) -> None:
-        """Set the loop's timer for the first callback."""
+        """Set the event loop's timer for the first callback."""
         if self.timer is not None:
             self.timer.cancel()
         when = self.timer_at = self.heap[0][0]
@@ -81,12 +84,12 @@
         self.timer = asyncio.get_running_loop().call_later(delay, self.on_timer)
 
     def on_timer(self) -> None:
-        """Run what is due now."""
+        """Run the callbacks that are due when the timer fires."""
         self.timer, self.timer_at = None, float("inf")
         self.run_due(clock.now())
 
     def run_due(self, now: float) -> None:
-        """Run what is due at a time."""
+        """Run the callbacks that are due by a time."""
         try:
             while self.heap and self.heap[0][0] <= now:
                 _, _, deadline = heapq.heappop(self.heap)
@@ -94,22 +97,22 @@
                 if callback is not None:
                     callback()
         finally:
-            # Also after one that failed: the others' callers still wait.
+            # Also if a callback raised: the other callers still wait.
             if self.heap and self.timer is None:
                 self.arm()
 
     def vm_resumed(self, now: float) -> None:
-        """Run what became due while this VM stood still, and the rest in its time.
+        """Run what became due while this VM was suspended and reset the timer.
 
-        The loop's clock stood still with it. Callers would wait for their final answer
-        as long again as the VM was suspended.
+        The event loop's clock does not advance while the VM is suspended: without this
+        the remaining callbacks would run late by the time of the suspend.
         """
         self.run_due(now)
         if self.heap:
             self.arm()
 
     def cap(self, latest: float) -> None:
-        """Have everything run by a time, at which this node is about to end."""
+        """Have all present and future callbacks run by a given time."""
         self.latest = latest
         self.heap = [(min(when, latest), n, each) for when, n, each in self.heap]
         heapq.heapify(self.heap)
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -1,8 +1,8 @@
-"""Bring each caller's call to an endpoint and its final answer back.
+"""Route callers' calls to endpoints and return the final answers.
 
-A call is decided by the configuration in force when it came. It is tried again
-after a failure only if it certainly has not run or may run twice, and only while
-there is time, a target left and room in the budget of repeats.
+A call is routed by the configuration in force when it arrived. After a failed attempt
+it is retried only if it certainly has not run or its route is idempotent, and only
+while there is time, another endpoint and room in the retry budget.
 """
 
 from __future__ import annotations
@@ -37,26 +37,29 @@
     from sequoiaspoke.sidecar.peers import Peers
     from sequoiaspoke.sidecar.state import MeshState
 
-# Seconds after which a caller that was refused may come back if nothing better is
-# known: time for a link to be opened or a node to start.
+# Default Retry-After in seconds: time for a link to be opened or a node to start.
 RETRY_AFTER_SECONDS = 0.3
-# Seconds after which a stopped node should be back: the rest of its end and its start.
+# Retry-After of a stopping node in seconds: the rest of its shutdown and its restart.
 RESTART_SECONDS = 1.0
-# How many times its usual time a call may take, with one in a hundred above; a node
-# that stops takes no call that would then outlast it.
+# Multiple of a route's mean duration that 99 in 100 calls stay below. A stopping node
+# refuses calls that could take longer than it has left by this estimate.
 LONGEST_CALL_FACTOR = 4.0
-# Attempts that reach no upstream, at most: each costs a round trip only, but a fleet
-# that refuses should be told to the caller soon.
+# Attempts of one call that may fail without reaching an upstream. Each costs only a
+# round trip, but if all nodes refuse, the caller should know soon.
 MAX_UNREACHED_ATTEMPTS = 6
 
 
 class Entry:
-    """Serves the callers and the upstream of this VM.
+    """Serves calls from callers and from the upstream on this VM.
 
     Attributes
     ----------
     closes_at : float
-        When this node ends; infinite until it is told to stop.
+        Time at which this process exits; infinite until it is told to stop.
+    counts : Counter of tuple of str and str
+        Final answers so far, by service and status.
+    stripped_headers : frozenset of str
+        Request headers that are not forwarded to upstreams.
     """
 
     def __init__(
@@ -88,9 +91,9 @@
 
     @cached_property
     def latency(self) -> HdrHistogram:
-        """Return the time to the final answers, in milliseconds.
+        """Return the histogram of times to the final answers, in milliseconds.
 
-        Imported with the first call, as a node has to start soon.
+        Its library is imported at the first call to keep the start of a node short.
         """
         from hdrh.histogram import HdrHistogram
 
@@ -134,7 +137,7 @@
         return answer
 
     async def serve_until_deadline(self, progress: Progress) -> Answer:
-        """Serve a call; raise TimeoutError once its time is over."""
+        """Serve a call; raise TimeoutError at its deadline."""
         timer = self.deadlines.call_at(progress.deadline, progress.expire)
         try:
             return await self.serve(progress)
@@ -142,22 +145,25 @@
             timer.cancel()
 
     def vm_resumed(self, now: float) -> None:
-        """Answer the calls whose time ran out while this VM stood still."""
+        """Answer the calls whose deadline passed while this VM was suspended."""
         self.deadlines.vm_resumed(now)
 
     def stop_at(self, closes_at: float) -> None:
-        """Answer every call by a time, at which this node is about to end.
+        """Set the time by which every call is answered before this process exits.
 
-        A call that takes longer than this node has left would keep its caller waiting
-        until the connection ends without a word. Worse, the answers to calls behind it
-        on the same connection are due after its own: they were ready for seconds, and
-        their callers never got them.
+        Otherwise a call that runs longer than that ends with a closed connection and no
+        answer. Pipelined calls behind it would lose their answers too, even finished
+        ones, because answers are sent in the order of the requests.
         """
         self.closes_at = closes_at
         self.deadlines.cap(closes_at)
 
     def no_route(self, request: Request) -> Answer:
-        """Answer a call that no route matches."""
+        """Answer a call that no route matches.
+
+        If the configuration may be out of date, a newer one may have the route: the
+        call is refused with 503 instead of answered with 404.
+        """
         if self.state.may_lack_a_route(clock.now()):
             return self.refuse(request, "no-fresh-configuration", RETRY_AFTER_SECONDS)
         self.counts["", "404"] += 1
@@ -172,7 +178,10 @@
         return local_answer(404, "no route")
 
     def time_left(self, request: Request, route: Route) -> float:
-        """Return the seconds until the final answer is due."""
+        """Return the seconds until the final answer is due.
+
+        This is the smaller of the caller's header and the timeout of the route.
+        """
         text = request.header(self.names.time_left)
         try:
             requested = float(text) / 1000
@@ -181,17 +190,17 @@
         return min(requested, route.timeout)
 
     def would_outlast_node(self, route: Route, now: float) -> bool:
-        """Return whether this node might end before a new call does.
+        """Return whether this node might exit before a new call is done.
 
-        A node that is told to stop goes on serving the callers that have not moved
-        away. One that took a long call in its last seconds would cut it at its end, and
-        the caller would not know whether it ran.
+        A stopping node still serves the callers that have not moved away. A long call
+        accepted in its last seconds would be cut off by the exit, and the caller would
+        not know whether it ran.
         """
         usual = self.attempts.placing.mean.get(route.name, FIRST_GUESS)
         return now + LONGEST_CALL_FACTOR * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
-        """Return the request as upstreams get it."""
+        """Return the request as it is forwarded to upstreams."""
         headers = end_to_end(request.headers, self.stripped_headers)
         headers += ((self.names.caller_service, self.service),)
         return replace(request, headers=headers)
@@ -199,7 +208,7 @@
     # Attempts.
 
     async def serve(self, progress: Progress) -> Answer:
-        """Try endpoints until there is a final answer."""
+        """Make attempts until there is a final answer."""
         while True:
             endpoint = self.attempts.choose(progress)
             if endpoint is None:
@@ -214,7 +223,7 @@
     def should_retry(
         self, progress: Progress, endpoint: Endpoint, outcome: Outcome
     ) -> bool:
-        """Return whether another endpoint is tried."""
+        """Record the outcome of an attempt; return whether to make another."""
         progress.tried.add(endpoint.incarnation)
         unreached = isinstance(outcome, NotRun) and not outcome.reached
         if unreached:
@@ -230,7 +239,7 @@
         if isinstance(outcome, NotRun):
             progress.retry_after = min(progress.retry_after, outcome.retry_after)
             if outcome.reason == Turned.HELD_BACK:
-                # No other home lets it run sooner.
+                # All homes hold the request back for as long.
                 progress.retry_after = outcome.retry_after
         if not isinstance(outcome, Answer):
             self.reasons[outcome.reason] += 1
@@ -249,7 +258,10 @@
         return retry
 
     def may_retry(self, progress: Progress, outcome: Outcome) -> bool:
-        """Return whether a call that reached an upstream is sent to another."""
+        """Return whether a call that reached an upstream may be retried.
+
+        If so, the retry is taken out of the budget.
+        """
         if isinstance(outcome, Answer):
             if (
                 outcome.status not in RETRYABLE_STATUSES
@@ -269,12 +281,12 @@
     # Final answers.
 
     def final_answer(self, progress: Progress, reason: str) -> Answer:
-        """Return the answer that the last attempt leaves."""
+        """Return the final answer to a call that is not tried again."""
         last_outcome = progress.last_outcome
         if isinstance(last_outcome, Answer):
             return last_outcome
         if isinstance(last_outcome, Unknown):
-            # The home's clock may run out a moment before this node's.
+            # The home's timer may expire a moment before this node's.
             status = 504 if last_outcome.reason == TIMED_OUT else 502
             return self.fail(progress, status, last_outcome.reason)
         if progress.may_have_run:
@@ -289,7 +301,7 @@
         )
 
     def timed_out(self, progress: Progress) -> Answer:
-        """Answer a call whose time is over while an attempt was under way."""
+        """Answer a call whose deadline passed during an attempt."""
         return self.fail(progress, 504, TIMED_OUT)
 
     def fail(self, progress: Progress, status: int, reason: str) -> Answer:
@@ -310,7 +322,7 @@
     def refuse(
         self, request: Request, reason: str, retry_after: float, service: str = ""
     ) -> Answer:
-        """Answer a call that has not run and tell when to come back."""
+        """Answer a call that has not run, with a Retry-After header."""
         self.reasons[reason] += 1
         self.log.call(
             "call-refused",
--- a/sequoiaspoke/sidecar/homecall.py
+++ b/sequoiaspoke/sidecar/homecall.py
@@ -1,4 +1,4 @@
-"""A call at its home, before and while it runs."""
+"""Calls at their home."""
 
 from __future__ import annotations
 
@@ -19,8 +19,11 @@
 
     Attributes
     ----------
+    rank : int
+        Its place among the calls that wait for a slot; the lowest goes first.
     on_time, deadline : float
-        Until when an answer is on time and of any use, by this node's clock.
+        Until when an answer is on time, and until when it is of any use, by this node's
+        clock.
     """
 
     request: Request
@@ -34,7 +37,13 @@
 
 @dataclass
 class ActiveCall:
-    """A call that waits for a slot or runs, and who hears what came of it."""
+    """A call that waits for a slot or runs.
+
+    Attributes
+    ----------
+    on_outcome : callable
+        Called with the outcome unless the call was cancelled.
+    """
 
     call: HomeCall
     on_outcome: Callable[[Outcome], None]
--- a/sequoiaspoke/sidecar/httpclient.py
+++ b/sequoiaspoke/sidecar/httpclient.py
@@ -1,10 +1,10 @@
-"""One connection of this node as a client of HTTP/1.1.
+"""HTTP/1.1 client connections.
 
-A server may answer before it has read the request, answer twice, end an answer
-early, or forget a connection that idles. Each connection carries one call at
-a time; an answer counts only if it is whole and echoes the call's id, and a
-connection on which anything unexpected came is never used again. Otherwise the
-bytes of one call would be taken for the answer to the next.
+A server may answer before it has read the request, answer twice, truncate an answer,
+or drop an idle connection. So each connection carries one call at a time, an answer
+counts only if it is complete and does not echo the id of another call, and a connection
+with any unexpected data is not reused. Otherwise the bytes of one call could be taken
+for the answer to the next.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
     from sequoiaspoke.core.mesh.outcome import Headers
     from sequoiaspoke.sidecar.deadlines import Deadlines
 
-# Seconds for a connection to open; it goes over loopback or inside a data centre.
+# Seconds for a connection to open, over loopback or within a data centre.
 CONNECT_TIMEOUT = 1.0
-# Largest answer that is held; whole answers are, so that one cut short is told
-# from a complete one before the first byte goes to the caller.
+# Largest accepted answer. Answers are buffered whole, so that a truncated one is
+# detected before its first byte goes to the caller.
 MAX_ANSWER_BYTES = 8 << 20
-# Seconds for which an idle connection is used again if the server names none, and
-# what is taken off the time it names, for its clock and the way.
+# Seconds for which an idle connection is reused if the server's Keep-Alive header names
+# no timeout, and the margin taken off a timeout for clock error and transit.
 IDLE_SECONDS, IDLE_MARGIN = 3.0, 1.0
-# A call that may run once only takes a connection used this recently (seconds): an
-# older one may have been forgotten, and the reset that follows says nothing about
+# A call that is not idempotent only reuses a connection used within so many seconds:
+# the server may have dropped an older one, and the reset that follows does not show
 # whether the call ran.
 FRESH_SECONDS = 1.0
 
@@ -66,12 +66,20 @@
 
 
 class ClientConnection(Connection):
-    """One connection to a server.
+    """A connection to a server.
 
     Attributes
     ----------
+    call_header : str
+        Header in which the server echoes the id of a call.
+    pending : asyncio.Future or None
+        The outcome of the call under way.
+    not_reusable : bool
+        Whether no further call may use this connection.
     answer_started : bool
-        Whether anything of an answer has come since the last request.
+        Whether any part of an answer has come since the last request.
+    until_close : bool
+        Whether the answer has no length and ends with the connection.
     """
 
     def __init__(self, call_header: str, deadlines: Deadlines) -> None:
@@ -89,7 +97,7 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def reset_answer(self) -> None:
-        """Begin to collect an answer."""
+        """Reset the state of the answer that is parsed."""
         self.status = 0
         self.headers: list[tuple[str, str]] = []
         self.body: list[bytes] = []
@@ -97,9 +105,8 @@
         self.until_close = False
 
     def received(self, data: bytes) -> None:
-        """Take bytes of the server, also while no call waits."""
+        """Parse data from the server; close on data while no call is under way."""
         if self.pending is None:
-            # Nothing is due here.
             self.close()
             return
         try:
@@ -109,13 +116,13 @@
             self.close()
 
     def lost(self, error: Exception | None, ended_here: bool) -> None:  # noqa: ARG002
-        """Take the end of the connection."""
+        """End the call under way, as the connection has ended."""
         if self.until_close and error is None:
             self.complete()
         self.fail(CONNECTION_LOST)
 
     def fail(self, reason: str) -> None:
-        """Tell the call that waits that nobody knows what became of it."""
+        """End the call under way with an unknown outcome."""
         self.not_reusable = True
         if self.pending is not None and not self.pending.done():
             self.pending.set_result(Unknown(reason))
@@ -123,18 +130,18 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one taints the connection."""
+        """Start an answer; a second one makes the connection not reusable."""
         self.answer_started = True
         if self.pending is None or self.pending.done():
             self.not_reusable = True
         self.reset_answer()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self.headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """Complete the head; find out how the end of the body is marked."""
         self.status = self.parser.get_status_code()
         headers = tuple(self.headers)
         has_length = find_header(headers, "content-length") or "chunked" in find_header(
@@ -147,7 +154,7 @@
         self.not_reusable |= self.until_close
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Append to the body unless it is too large."""
         self.body_size += len(data)
         if self.body_size > MAX_ANSWER_BYTES:
             self.fail("answer-too-large")
@@ -156,26 +163,26 @@
             self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Take the end of an answer that tells its length."""
+        """Complete an answer unless its status is informational (1xx)."""
         if self.status >= 200:
             self.complete()
 
     def complete(self) -> None:
-        """Hand a whole answer to the call that waits for it."""
+        """Return a complete answer to the call under way."""
         if self.pending is None or self.pending.done():
             self.not_reusable = True
             return
         headers = tuple(self.headers)
         echoed = find_header(headers, self.call_header)
         if echoed and echoed != self.call_id:
-            # The late second answer to a call before; ours is still to come.
+            # A late second answer to an earlier call; this call's is still to come.
             return
         self.read_keep_alive(headers)
         answer = Answer(self.status, headers, b"".join(self.body))
         self.pending.set_result(answer)
 
     def read_keep_alive(self, headers: Headers) -> None:
-        """Take the server's word on how long the connection stays open."""
+        """Read how long the server keeps the connection open."""
         if "close" in find_header(headers, "connection").lower():
             self.not_reusable = True
         for part in find_header(headers, "keep-alive").split(","):
@@ -186,10 +193,10 @@
     async def exchange(
         self, text: bytes, call_id: str, head: bool, deadline: float
     ) -> Answer | Unknown:
-        """Send a request and return what came back by a time.
+        """Send a request and return its outcome by the deadline.
 
-        A call that is cancelled or whose time is over leaves the connection closed: its
-        answer would be taken for that to the next call.
+        The connection is closed if the call is cancelled or times out; its late answer
+        would be taken for the answer to the next call.
         """
         self.call_id = call_id
         self.head_only = head
@@ -208,18 +215,19 @@
             timer.cancel()
             self.pending = None
         if self.unsent_bytes():
-            # Answered before it was sent whole: the rest would be read as a request.
+            # Answered before the request was sent completely: the server would read
+            # the rest as a request.
             self.not_reusable = True
         self.last_used = clock.now()
         return outcome
 
     def timed_out(self) -> None:
-        """Give the call up whose time is over."""
+        """End the call under way with a timeout and close the connection."""
         self.fail(TIMED_OUT)
         self.close()
 
     def usable(self, idempotent: bool, now: float) -> bool:
-        """Return whether the next call may take this connection."""
+        """Return whether the next call may use this connection."""
         if self.not_reusable or self.closed:
             return False
         limit = (
@@ -228,6 +236,6 @@
         return now - self.last_used < limit
 
     def close(self) -> None:
-        """End the connection; a server drops the call that runs on it."""
+        """Close the connection; the server drops the call that runs on it."""
         self.not_reusable = True
         super().close()
--- a/sequoiaspoke/sidecar/httptext.py
+++ b/sequoiaspoke/sidecar/httptext.py
@@ -1,4 +1,4 @@
-"""Requests and answers to and from the text of HTTP/1.1."""
+"""Encode HTTP/1.1 requests and answers and filter their headers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.outcome import Headers
 
-# They concern one connection only and are never passed on.
+# Headers that apply to a single connection and are never forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -26,14 +26,20 @@
         "expect",
     }
 )
+# Statuses of answers without a body.
 BODILESS_STATUSES = frozenset({204, 304})
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 def end_to_end(headers: Headers, without: frozenset[str] = frozenset()) -> Headers:
-    """Return the headers that are passed on.
+    """Return the headers to forward.
 
-    Those that the Connection header names concern one connection, too.
+    Those that the Connection header names are hop-by-hop, too.
+
+    Parameters
+    ----------
+    without : frozenset of str
+        Further headers to leave out, in lower case.
     """
     named = find_header(headers, "connection").lower()
     dropped = HOP_BY_HOP | without
@@ -43,7 +49,13 @@
 
 
 def encode_request(request: Request, extra: Headers) -> bytes:
-    """Return the bytes of a request."""
+    """Return the bytes of a request.
+
+    Parameters
+    ----------
+    extra : Headers
+        Headers to send after those of the request.
+    """
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers]
     lines += [f"{name}: {value}" for name, value in extra]
@@ -59,7 +71,7 @@
     Parameters
     ----------
     close : bool
-        Whether the connection ends after it.
+        Whether the connection is closed after it.
     head_only : bool
         Whether the request was a HEAD, whose answer has no body.
     """
@@ -78,7 +90,7 @@
 
 
 def local_answer(status: int, reason: str, retry_after: float | None = None) -> Answer:
-    """Return an answer that this node gives in the upstream's place."""
+    """Return an answer that comes from this node and not from an upstream."""
     headers = [("Content-Type", "text/plain")]
     if retry_after is not None:
         headers.append(("Retry-After", f"{retry_after:.3f}"))
--- a/sequoiaspoke/sidecar/names.py
+++ b/sequoiaspoke/sidecar/names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that a sidecar reads and sets."""
+"""Names of the HTTP headers that a sidecar reads and sets."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """The names in force, in lower case.
+    """The configured header names, in lower case.
 
     Attributes
     ----------
     call_id : str
-        Names one attempt of a caller; upstreams echo it.
+        Id of one attempt of a caller; upstreams echo it.
     time_left : str
-        Milliseconds that the caller still waits.
+        Milliseconds for which the caller still waits.
     instance : str
-        Tells the upstream which incarnation is meant.
+        Instance for which the call is meant, sent to the upstream.
     caller_service : str
-        Tells the upstream where the call began; set by the entry alone.
+        Service of the caller, sent to the upstream; set only by the entry.
     stamp : str
-        Marks an answer as the upstream's own.
+        Marks an answer as coming from the upstream itself.
     not_run : str
         Marks an answer of an upstream that did not run the call.
     load : str
-        Tells how many calls the upstream runs and queues, and its slots.
+        Number of calls that the upstream runs and queues, and of its slots.
     cold : str
-        Tells, with a health answer, the milliseconds for which the upstream stays cold.
+        Milliseconds for which the upstream stays cold, sent with a health answer.
     """
 
     call_id: str = "x-request-id"
--- a/sequoiaspoke/sidecar/race.py
+++ b/sequoiaspoke/sidecar/race.py
@@ -1,4 +1,4 @@
-"""One call of an entry and its attempts, of which the first good answer counts."""
+"""The state of a call at its entry and its concurrent attempts."""
 
 from __future__ import annotations
 
@@ -15,24 +15,30 @@
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
     from sequoiaspoke.core.mesh.placing import News
 
-# Statuses of an upstream after which a call that may run twice is tried elsewhere.
+# Statuses of an upstream after which an idempotent call is retried elsewhere.
 RETRYABLE_STATUSES = frozenset({500, 502, 503})
 
 
 @dataclass
 class Progress:
-    """How far the attempts to serve one call have come.
+    """The state of one call across its attempts.
 
     Attributes
     ----------
+    deadline, on_time : float
+        When the call times out, and until when an answer is on time.
     tried : set of Incarnation
-        Starts of upstreams that will not be tried again.
+        Incarnations of upstreams that will not be tried again.
     reached : int
-        Attempts that may have reached an upstream.
+        Number of attempts that may have reached an upstream.
     may_have_run : bool
         Whether one of them may have run.
+    unreached : int
+        Number of attempts that reached no upstream.
     retry_after : float
-        The soonest of the times that the homes told, in seconds.
+        Shortest Retry-After of the homes that refused the call, in seconds.
+    expired : bool
+        Whether the deadline has passed.
     """
 
     request: Request
@@ -50,21 +56,21 @@
     expired: bool = False
 
     def expire(self) -> None:
-        """End the wait for an outcome, as the call's time is over."""
+        """Mark the deadline as passed and end the wait for an outcome."""
         self.expired = True
         if self.race is not None:
             self.race.time_out()
 
 
 class Attempt:
-    """One attempt, which is told its outcome once unless it is called off before.
+    """One attempt, which gets its outcome once unless it is cancelled first.
 
     Attributes
     ----------
     cancel_at_home : callable
-        Tells the home that nobody waits any more.
+        Cancels the call at its home.
     on_end, on_cancel : callable
-        Told of its outcome, or that it was called off.
+        Called with the outcome, or when the attempt is cancelled.
     """
 
     def __init__(
@@ -84,7 +90,7 @@
         self.cancel_at_home: Callable[[], None] | None = None
 
     def finish(self, outcome: Outcome, report: News) -> None:
-        """Take what came of the attempt, and the home's word with it."""
+        """Take the outcome of the attempt and the load report sent with it."""
         if self.finished:
             return
         self.finished = True
@@ -92,7 +98,7 @@
         self.race.attempt_finished(self, outcome)
 
     def cancel(self) -> None:
-        """Call the attempt off."""
+        """Cancel the attempt, also at its home."""
         if self.finished:
             return
         self.finished = True
@@ -102,9 +108,9 @@
 
 
 class Race:
-    """The attempts under way for one call.
+    """The concurrent attempts of one call.
 
-    The first answer that needs no repeat counts, or else the last outcome.
+    The first answer that needs no retry is the result, or else the last outcome.
     """
 
     def __init__(self) -> None:
@@ -114,7 +120,7 @@
         )
 
     def attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take what came of an attempt."""
+        """Take the outcome of an attempt."""
         if self.result.done():
             return
         good = isinstance(outcome, Answer) and outcome.status not in RETRYABLE_STATUSES
@@ -122,11 +128,11 @@
             self.result.set_result((attempt.endpoint, outcome))
 
     def time_out(self) -> None:
-        """End the race undecided."""
+        """Set TimeoutError as the result unless there is one."""
         if not self.result.done():
             self.result.set_exception(TimeoutError())
 
     def cancel(self) -> None:
-        """Call off whatever is still under way."""
+        """Cancel the attempts still under way."""
         for attempt in self.attempts:
             attempt.cancel()
--- a/sequoiaspoke/sidecar/settings.py
+++ b/sequoiaspoke/sidecar/settings.py
@@ -13,26 +13,32 @@
 
 @dataclass(frozen=True)
 class SidecarSettings:
-    """What one sidecar is told at its start.
+    """The settings of one sidecar.
 
     Attributes
     ----------
+    node : str
+        Name of this node.
     service, zone : str
-        Those of the upstream beside it.
-    upstream, callers, links, health : Address
-        Where the upstream listens, and where this node listens for callers, for
-        other nodes, and for the platform's questions.
+        Service and availability zone of the upstream beside this node.
+    upstream : Address
+        Address of the upstream.
+    callers, links, health : Address
+        Addresses on which this node listens for callers, for other nodes, and for the
+        health checks of the platform.
     store : Address
-        Where the platform's store listens.
+        Address of the platform's store.
+    health_path : str
+        Path of this node's own readiness check.
     leave_after : float
-        Seconds after a termination signal for which the home takes new calls: callers
-        here need that long to be moved away, and the upstream runs on.
+        Seconds after a termination signal for which the home accepts new calls: callers
+        of this node need that long to be moved away, and the upstream still runs.
     drain : float
-        Seconds after a termination signal at which the process ends at the latest.
+        Seconds after a termination signal after which the process exits at the latest.
     act_within : float
-        Seconds within which a new version or the leaving of an upstream is acted on.
+        Seconds within which a new version or the departure of an upstream takes effect.
     link_mbps : float
-        Rate of this VM's network link in Mbit/s, 0 if not known.
+        Rate of this VM's network link in Mbit/s, 0 if unknown.
     regions : dict of str to str
         Region of each availability zone.
     """
