--- a/sequoiaspoke/tests/loopback.py
+++ b/sequoiaspoke/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Nodes, upstreams and raw callers on loopback for the tests of the shell."""
+"""Nodes, upstreams and raw HTTP callers on loopback for tests over sockets."""
 
 import asyncio
 
@@ -10,8 +10,7 @@
 
 WAIT = 10.0  # seconds; only a failing test waits so long
 DRAIN = 0.05  # seconds
-# A process of the tests may stand still for a second beside others; a connection that
-# is being opened then must not be given up.
+# A test process may stall for a second under load; a connect must not time out then.
 PATIENT = LimitSettings(connect=WAIT)
 
 
@@ -20,14 +19,14 @@
 
 
 async def until(condition):
-    """Let the loop turn until a condition holds."""
+    """Wait until a condition holds."""
     async with asyncio.timeout(WAIT):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 async def raw(port, data):
-    """Send bytes and return everything that comes back until the close."""
+    """Send bytes; return everything received until the server closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
@@ -52,7 +51,7 @@
 
 
 def header(answer, name):
-    """Return one header of a raw answer, empty without it."""
+    """Return a header of a raw answer, empty if it is missing."""
     for line in answer.partition(b"\r\n\r\n")[0].decode().split("\r\n")[1:]:
         key, _, value = line.partition(": ")
         if key.lower() == name.lower():
@@ -61,7 +60,7 @@
 
 
 class LoopbackTestCase(TestCase):
-    """Run a test against a small deployment, and stop all of it afterwards."""
+    """Runs a test against a small deployment and stops it afterwards."""
 
     SERVICES = ("fleet",)
     ZONES = ("akaki", "bole")
--- a/sequoiaspoke/tests/test_callerserver.py
+++ b/sequoiaspoke/tests/test_callerserver.py
@@ -1,4 +1,4 @@
-"""Tests of the server for callers, over sockets of loopback."""
+"""Tests of the server for callers, over loopback sockets."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 
 class FakeTransport:
-    """Tells the socket of a connection and does nothing else."""
+    """A transport that only returns its socket and peer address."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -23,7 +23,7 @@
 
 
 class Handler:
-    """Answers with the request's target once it is told to."""
+    """A handler that echoes target and body once its gate is open."""
 
     def __init__(self):
         self.gate = asyncio.Event()
@@ -65,10 +65,10 @@
         while not condition():
             await asyncio.sleep(0.002)
 
-    def test_a_caller_that_leaves_at_once_leaves_no_bytes_behind(self):
-        # A caller sends an order and is gone in the same moment, before its call began.
-        # Its body counted as held for good; after some thousands of these every order
-        # was refused for want of memory.
+    def test_the_body_of_a_caller_that_disconnects_at_once_is_released(self):
+        # A caller sends an order and disconnects before its task has started. Its body
+        # was counted as held for good; after some thousands of these every order was
+        # refused because the limit of held bodies was reached.
         async def scenario(reader, writer):
             with socket.socket() as sock:
                 connection = self.server.connection()
@@ -83,8 +83,8 @@
 
         self.play(scenario)
 
-    def test_calls_of_the_upstream_beside_this_node_are_told_from_others(self):
-        # Callers are elsewhere; only the upstream calls from this VM's own address.
+    def test_calls_of_the_upstream_beside_this_node_are_nested(self):
+        # Only the upstream calls from this VM's own address.
         async def scenario(reader, writer):
             writer.write(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
             await self.until(lambda: self.handler.begun)
@@ -98,9 +98,9 @@
 
         self.play(scenario)
 
-    def test_a_caller_that_leaves_is_noticed_whatever_its_request_said(self):
-        # A caller asks for the connection to be closed after its answer, and leaves
-        # before. Unnoticed, its call runs on for nobody.
+    def test_a_disconnect_is_detected_whatever_the_connection_header(self):
+        # A caller asks to close the connection after its answer and disconnects before
+        # it. Undetected, its call would run on with nobody to answer.
         for extra in ("", "Connection: close\r\n"):
 
             async def scenario(reader, writer, extra=extra):
@@ -112,9 +112,9 @@
             self.play(scenario)
             self.assertEqual(self.handler.cancelled, ["/a"])
 
-    def test_the_last_answer_arrives_although_more_was_sent_behind_it(self):
-        # A node that stops ends a connection with its answer while the caller has just
-        # sent the next request. A reset would take the answer with it.
+    def test_the_last_answer_arrives_although_more_requests_were_sent(self):
+        # A stopping node closes a connection after an answer while the caller has just
+        # sent the next request. A reset would discard the answer.
         async def scenario(reader, writer):
             self.server.closing = True
             self.handler.gate.set()
@@ -128,7 +128,7 @@
 
         self.play(scenario)
 
-    def test_bodies_come_whole_by_length_and_in_chunks(self):
+    def test_bodies_are_read_by_length_and_in_chunks(self):
         async def scenario(reader, writer):
             self.handler.gate.set()
             head = b"POST /a HTTP/1.1\r\nHost: x\r\n"
@@ -142,8 +142,8 @@
         self.play(scenario)
 
     def test_a_smuggled_request_is_not_served(self):
-        # Two lengths: a proxy that takes the other one would run what is hidden in
-        # the body as a request of its own.
+        # Two conflicting lengths: a server that follows the other one would run what is
+        # hidden in the body as a request of its own.
         async def scenario(reader, writer):
             writer.write(
                 b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n"
@@ -154,7 +154,7 @@
 
         self.play(scenario)
 
-    def test_a_caller_is_told_to_continue(self):
+    def test_a_request_that_expects_continue_gets_it(self):
         async def scenario(reader, writer):
             self.handler.gate.set()
             writer.write(
@@ -167,7 +167,7 @@
 
         self.play(scenario)
 
-    def test_requests_read_ahead_are_bounded(self):
+    def test_pipelined_requests_up_to_the_limit_are_served(self):
         async def scenario(reader, writer):
             one = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
             for _ in range(MAX_PIPELINED):
--- a/sequoiaspoke/tests/test_sidecar_deadlines.py
+++ b/sequoiaspoke/tests/test_sidecar_deadlines.py
@@ -1,4 +1,4 @@
-"""Tests of callbacks at their times, on a virtual clock."""
+"""Tests of the deadline heap, on a virtual clock."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
     def note(self, name):
         return lambda: self.ran.append((name, round(clock.now() - 1000.0, 2)))
 
-    def test_each_runs_at_its_time_in_whatever_order_they_were_set(self):
+    def test_callbacks_run_at_their_times_whatever_the_order_of_scheduling(self):
         async def scenario(deadlines):
             for name, seconds in (("c", 3.0), ("a", 1.0), ("b", 2.0)):
                 deadlines.call_at(clock.now() + seconds, self.note(name))
@@ -31,7 +31,7 @@
         self.play(scenario)
         self.assertEqual(self.ran, [("a", 1.0), ("b", 2.0), ("c", 3.0)])
 
-    def test_what_was_called_off_does_not_run(self):
+    def test_a_cancelled_callback_does_not_run(self):
         async def scenario(deadlines):
             first = deadlines.call_at(clock.now() + 1.0, self.note("a"))
             deadlines.call_at(clock.now() + 2.0, self.note("b"))
@@ -41,9 +41,8 @@
         self.play(scenario)
         self.assertEqual(self.ran, [("b", 2.0)])
 
-    def test_one_that_fails_does_not_hold_up_the_others(self):
-        # The answer to one call cannot be given for some fault. The callers of all
-        # others would wait until they give up.
+    def test_a_callback_that_raises_does_not_stop_the_others(self):
+        # Otherwise one call's error would leave all other callers without an answer.
         async def scenario(deadlines):
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda *_: None)
@@ -54,7 +53,7 @@
         self.play(scenario)
         self.assertEqual([name for name, _ in self.ran], ["b"])
 
-    def test_a_node_that_ends_runs_all_before(self):
+    def test_a_cap_applies_to_callbacks_set_before_and_after_it(self):
         async def scenario(deadlines):
             deadlines.call_at(clock.now() + 30.0, self.note("a"))
             deadlines.cap(clock.now() + 2.0)
@@ -64,9 +63,9 @@
         self.play(scenario)
         self.assertEqual(self.ran, [("a", 2.0), ("b", 2.0)])
 
-    def test_the_loop_is_not_kept_busy_until_the_next_is_due(self):
-        # The loop's timers go by the millisecond. One set for the exact time ran a
-        # moment too soon and was set again, 200 times a second.
+    def test_a_timer_is_set_once_per_callback(self):
+        # The event loop's timers have a resolution of a millisecond. One set for the
+        # exact time fired a moment early and was set again, 200 times a second.
         async def scenario(deadlines):
             armed = []
             arm = deadlines.arm
@@ -78,9 +77,9 @@
 
         self.assertTrue(self.play(scenario) <= 11)
 
-    def test_what_was_called_off_is_not_kept(self):
-        # Nearly all calls end in time. Kept until their deadlines, 15 s of calls would
-        # stand in memory.
+    def test_cancelled_callbacks_are_removed(self):
+        # Nearly all calls end before their deadlines. Kept until then, the callbacks of
+        # all calls of the last 15 s would stay in memory.
         async def scenario(deadlines):
             for _ in range(50 * MIN_SWEEP_SIZE):
                 deadlines.call_at(clock.now() + 15.0, self.note("a")).cancel()
--- a/sequoiaspoke/tests/test_sidecar_entry.py
+++ b/sequoiaspoke/tests/test_sidecar_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's decisions that need a loop but no other process."""
+"""Tests of the entry's retries, hedges, deadlines and final answers."""
 
 import asyncio
 import random
@@ -48,7 +48,7 @@
 
 
 class ScriptedAttempts(Attempts):
-    """Attempts that bring what the test says, by instance."""
+    """Attempts with outcomes that the test sets by instance; None never ends."""
 
     script = {}
     sent = ()
@@ -68,7 +68,7 @@
 
 
 def make_entry(script):
-    """Return an entry that knows one endpoint for each line of the script."""
+    """Return an entry that knows one endpoint for each instance of the script."""
     names, log = HeaderNames(), EventLog("x-request-id")
     state = MeshState(NoItems(), log, lambda: None)
     routes = (route("read", True), route("order", False))
@@ -104,47 +104,47 @@
 
         return asyncio.run(run())
 
-    def test_a_read_that_was_lost_is_tried_elsewhere(self):
+    def test_a_read_that_was_lost_is_retried_elsewhere(self):
         answer = self.play({"a": LOST, "b": SERVED}, "read")
         self.assertEqual(answer.status, 200)
 
-    def test_an_order_that_was_lost_is_never_tried_again(self):
-        # The connection broke after the order was sent. It may have been booked.
+    def test_an_order_that_was_lost_is_never_retried(self):
+        # The connection broke after the order was sent, so it may have run.
         answer = self.play({"a": LOST, "b": LOST}, "order")
         self.assertEqual((answer.status, len(self.entry.attempts.sent)), (502, 1))
 
-    def test_an_order_that_was_turned_away_is_tried_elsewhere(self):
+    def test_an_order_that_was_refused_is_retried_elsewhere(self):
         answer = self.play({"a": SHED, "b": SHED}, "order")
         self.assertEqual((answer.status, len(self.entry.attempts.sent)), (503, 2))
 
     def test_an_order_whose_time_ran_out_at_its_home_is_a_timeout(self):
-        # The home's clock runs out a moment before the entry's. Whichever it is, the
-        # caller hears the same.
+        # The home's timer expires a moment before the entry's; the caller gets the same
+        # answer from either.
         answer = self.play({"a": Unknown(TIMED_OUT)}, "order")
         self.assertEqual(answer.status, 504)
 
-    def test_a_read_that_may_have_run_is_not_told_as_not_run(self):
-        # The first attempt was lost and the second turned away. "Not run" would be
-        # untrue, and a caller who counts runs would count one too few.
+    def test_a_read_that_may_have_run_is_not_reported_as_not_run(self):
+        # The first attempt was lost and the second refused. Reported as not run, the
+        # first one's run would be missing from the caller's count of runs.
         answer = self.play({"a": LOST, "b": SHED}, "read")
         self.assertEqual((answer.status, self.entry.attempts.sent), (502, ("a", "b")))
 
-    def test_a_refusal_tells_when_to_return(self):
+    def test_a_refusal_has_a_retry_after_header(self):
         answer = self.play({"a": SHED}, "order")
         self.assertIn(("Retry-After", "0.200"), answer.headers)
 
-    def test_targets_of_one_call_stay_within_its_attempts(self):
+    def test_attempts_of_a_call_are_limited_by_its_route(self):
         answer = self.play({"a": LOST, "b": LOST, "c": SERVED}, "read")
         self.assertTrue(len(self.entry.attempts.sent) <= 2)
         self.assertIn(answer.status, (200, 502))
 
-    def test_a_call_without_time_is_refused_at_once(self):
+    def test_a_call_without_time_left_is_refused_at_once(self):
         answer = self.play({"a": SERVED}, "read", left=0)
         self.assertEqual((answer.status, self.entry.attempts.sent), (503, ()))
 
-    def test_a_route_that_may_be_too_new_is_not_denied(self):
-        # This node cannot read the store. A caller uses a route that was added
-        # meanwhile; told that there is none, it gives up for good.
+    def test_a_route_that_may_be_missing_here_is_not_answered_with_404(self):
+        # This node has not read the store for a minute, and a caller uses a route added
+        # meanwhile. After a 404 the caller would not try again.
         async def run():
             entry = make_entry({"a": SERVED})
             entry.state.as_of -= 60
@@ -157,7 +157,7 @@
 
 
 class HedgingTests(TestCase):
-    def test_a_second_endpoint_answers_beside_one_that_hangs(self):
+    def test_a_hedge_answers_if_the_first_endpoint_hangs(self):
         async def run():
             entry = make_entry({"a": None, "b": None})
             entry.attempts.script["b"] = SERVED
@@ -168,7 +168,7 @@
         self.assertEqual(answer.status, 200)
         self.assertTrue(len(sent) <= 2)
 
-    def test_an_order_is_never_sent_beside_itself(self):
+    def test_an_order_is_never_hedged(self):
         async def run():
             entry = make_entry({"a": None, "b": None})
             answer = await entry.handle(request("order", left=600))
@@ -188,22 +188,21 @@
 
         return asyncio.run(run())
 
-    def test_a_node_that_stops_takes_no_call_that_would_outlast_it(self):
-        # A node is told to stop, its last callers have not moved away yet, and a long
-        # call comes a second before its end. It is cut, and its caller does not know
-        # whether it ran.
+    def test_a_stopping_node_refuses_a_call_that_would_outlast_it(self):
+        # A long call comes a second before a stopping node exits. Accepted, it would be
+        # cut off, and its caller would not know whether it ran.
         answer, sent = self.play(usual=0.5)
         self.assertEqual((answer.status, sent), (503, ()))
 
-    def test_a_node_that_stops_still_takes_short_calls(self):
+    def test_a_stopping_node_still_accepts_short_calls(self):
         answer, _ = self.play(usual=0.05)
         self.assertEqual(answer.status, 200)
 
-    def test_a_ready_answer_behind_a_long_call_is_given_before_the_end(self):
-        # A caller sends a long call and a page view behind it on one connection. The
-        # node is told to stop; the page is ready within a moment, but its turn comes
-        # after the long call, which outlasts the node. The connection ended without
-        # a word, and the page had run for nothing.
+    def test_a_ready_answer_behind_a_long_call_is_sent_before_the_exit(self):
+        # A caller pipelines a short call behind a long one, and the node is told to
+        # stop. The short call's answer has to follow the long call's, and that takes
+        # longer than the node has left: without a deadline for the long call, the
+        # connection would end with neither answer.
         async def run():
             entry = make_entry({"a": SERVED, "b": None})
             entry.attempts.choose = lambda progress: self.by_route(entry, progress)
@@ -239,7 +238,7 @@
         held = entry.state.directory.held.values()
         return next(e.endpoint for e in held if e.endpoint.instance == wanted)
 
-    def test_a_call_taken_while_stopping_is_answered_before_the_end(self):
+    def test_a_call_accepted_while_stopping_is_answered_before_the_exit(self):
         async def run():
             entry = make_entry({"a": None})
             entry.stop_at(clock.now() + 0.5)
@@ -250,9 +249,9 @@
 
 
 class SuspendedTests(TestCase):
-    def test_callers_get_their_answer_when_the_vm_wakes(self):
-        # The VM is suspended for a minute while a call is under way. Its clock for
-        # timers stood still, so the timer still has its five seconds to go.
+    def test_an_overdue_call_is_answered_when_the_vm_resumes(self):
+        # The VM is suspended for a minute during a call. The event loop's clock did not
+        # advance, so the call's timer still has five seconds to go.
         async def run():
             entry = make_entry({"a": None})
             call = asyncio.ensure_future(entry.handle(request("order", left=5000)))
@@ -267,9 +266,9 @@
         self.assertEqual(status, 504)
         self.assertTrue(seconds < 4, seconds)
 
-    def test_a_call_that_ends_as_the_vm_wakes_does_no_harm(self):
-        # The VM wakes just as the timer of a call runs out. Set right once more, the
-        # timer raises an error, and the process ended with all its calls.
+    def test_a_call_that_times_out_as_the_vm_resumes_is_answered(self):
+        # The VM resumes just as the timer of a call fires. Resetting a timer that has
+        # fired raised an error that ended the process.
         async def run():
             entry = make_entry({"a": None})
             call = asyncio.ensure_future(entry.handle(request("order", left=1)))
