--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -256,8 +256,8 @@
         now = clock.now()
         if now - self.ticked_at > PAUSE_SECONDS:
             self.log.event("pause", seconds=f"{now - self.ticked_at:.2f}")
-            self.entry.woke(now)
-            self.upstream.deadlines.woke(now)
+            self.entry.vm_resumed(now)
+            self.upstream.deadlines.vm_resumed(now)
             # What was read before the pause may be out of date.
             self.follower.store.reconnect()
         self.loop_delay = max(0.0, now - self.ticked_at - self.tick_interval)
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -1,8 +1,8 @@
-"""Bring each caller's call to an endpoint and its final answer back.
+"""Route callers' calls to endpoints and return the final answers.
 
-A call is decided by the configuration in force when it came. It is tried again
-after a failure only if it certainly has not run or may run twice, and only while
-there is time, a target left and room in the budget of repeats.
+A call is routed by the configuration in force when it arrived. After a failed attempt
+it is retried only if it certainly has not run or its route is idempotent, and only
+while there is time, another endpoint and room in the retry budget.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.attempts import Attempts
 from sequoiaspoke.sidecar.deadlines import Deadlines
-from sequoiaspoke.sidecar.httptext import end_to_end, own_answer
-from sequoiaspoke.sidecar.race import TRY_ELSEWHERE, Progress
+from sequoiaspoke.sidecar.httptext import end_to_end, local_answer
+from sequoiaspoke.sidecar.race import RETRYABLE_STATUSES, Progress
 
 if TYPE_CHECKING:
     from random import Random
@@ -37,26 +37,29 @@
     from sequoiaspoke.sidecar.peers import Peers
     from sequoiaspoke.sidecar.state import MeshState
 
-# Seconds after which a caller that was refused may come back if nothing better is
-# known: time for a link to be opened or a node to start.
-COME_BACK = 0.3
-# Seconds after which a stopped node should be back: the rest of its end and its start.
-STOPPED_SECONDS = 1.0
-# How many times its usual time a call may take, with one in a hundred above; a node
-# that stops takes no call that would then outlast it.
-LONGEST = 4.0
-# Attempts that reach no upstream, at most: each costs a round trip only, but a fleet
-# that refuses should be told to the caller soon.
-FRUITLESS_MOST = 6
+# Default Retry-After in seconds: time for a link to be opened or a node to start.
+RETRY_AFTER_SECONDS = 0.3
+# Retry-After of a stopping node in seconds: the rest of its shutdown and its restart.
+RESTART_SECONDS = 1.0
+# Multiple of a route's mean duration that 99 in 100 calls stay below. A stopping node
+# refuses calls that could take longer than it has left by this estimate.
+LONGEST_CALL_FACTOR = 4.0
+# Attempts of one call that may fail without reaching an upstream. Each costs only a
+# round trip, but if all nodes refuse, the caller should know soon.
+MAX_UNREACHED_ATTEMPTS = 6
 
 
 class Entry:
-    """Serves the callers and the upstream of this VM.
+    """Serves calls from callers and from the upstream on this VM.
 
     Attributes
     ----------
     closes_at : float
-        When this node ends; infinite until it is told to stop.
+        Time at which this process exits; infinite until it is told to stop.
+    counts : Counter of tuple of str and str
+        Final answers so far, by service and status.
+    stripped_headers : frozenset of str
+        Request headers that are not forwarded to upstreams.
     """
 
     def __init__(
@@ -67,7 +70,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        repeats: RepeatLimits,
+        retry_limits: RepeatLimits,
         rng: Random,
         log: EventLog,
     ) -> None:
@@ -75,22 +78,22 @@
         self.names = names
         self.state = state
         self.peers = peers
-        self.attempts = Attempts(state, home, peers, repeats, regions, log)
+        self.attempts = Attempts(state, home, peers, retry_limits, regions, log)
         self.log = log
         self.splitter = Splitter(rng)
         self.closes_at = float("inf")
         self.deadlines = Deadlines()
         self.counts: Counter[tuple[str, str]] = Counter()
         self.reasons = self.attempts.reasons
-        self.own_headers = frozenset(
+        self.stripped_headers = frozenset(
             {names.time_left, names.instance, names.caller_service}
         )
 
     @cached_property
     def latency(self) -> HdrHistogram:
-        """Return the time to the final answers, in milliseconds.
+        """Return the histogram of times to the final answers, in milliseconds.
 
-        Imported with the first call, as a node has to start soon.
+        Its library is imported at the first call to keep the start of a node short.
         """
         from hdrh.histogram import HdrHistogram
 
@@ -101,16 +104,16 @@
         arrived = clock.now()
         table = self.state.table
         if table is None:
-            return self.refuse(request, "no-configuration", COME_BACK)
+            return self.refuse(request, "no-configuration", RETRY_AFTER_SECONDS)
         route = table.match(request.header("host"), request.target)
         if route is None:
             return self.no_route(request)
         service = self.splitter.choose(route.name, route.split, "")
         left = self.time_left(request, route)
         if left <= 0:
-            return self.refuse(request, "no-time", COME_BACK)
-        if self.too_late(route, arrived):
-            return self.refuse(request, "stopping", STOPPED_SECONDS, service)
+            return self.refuse(request, "no-time", RETRY_AFTER_SECONDS)
+        if self.would_outlast_node(route, arrived):
+            return self.refuse(request, "stopping", RESTART_SECONDS, service)
         progress = Progress(
             self.forwarded(request),
             route,
@@ -118,12 +121,12 @@
             min(arrived + left, self.closes_at),
             arrived + route.objective,
         )
-        held = self.attempts.held_seconds(progress)
-        if held:
-            return self.refuse(request, Turned.HELD_BACK, held, service)
+        quarantine = self.attempts.quarantine_seconds(progress)
+        if quarantine:
+            return self.refuse(request, Turned.HELD_BACK, quarantine, service)
         self.attempts.budgets.of(service).first(arrived)
         try:
-            answer = await self.in_time(progress)
+            answer = await self.serve_until_deadline(progress)
         except TimeoutError:
             answer = self.timed_out(progress)
         except asyncio.CancelledError:
@@ -133,33 +136,36 @@
         self.latency.record_value(max(1, int((clock.now() - arrived) * 1000)))
         return answer
 
-    async def in_time(self, progress: Progress) -> Answer:
-        """Serve a call; raise TimeoutError once its time is over."""
-        limit = self.deadlines.at(progress.deadline, progress.time_over)
+    async def serve_until_deadline(self, progress: Progress) -> Answer:
+        """Serve a call; raise TimeoutError at its deadline."""
+        timer = self.deadlines.call_at(progress.deadline, progress.expire)
         try:
             return await self.serve(progress)
         finally:
-            limit.cancel()
+            timer.cancel()
 
-    def woke(self, now: float) -> None:
-        """Answer the calls whose time ran out while this VM stood still."""
-        self.deadlines.woke(now)
+    def vm_resumed(self, now: float) -> None:
+        """Answer the calls whose deadline passed while this VM was suspended."""
+        self.deadlines.vm_resumed(now)
 
     def stop_at(self, closes_at: float) -> None:
-        """Answer every call by a time, at which this node is about to end.
+        """Set the time by which every call is answered before this process exits.
 
-        A call that takes longer than this node has left would keep its caller waiting
-        until the connection ends without a word. Worse, the answers to calls behind it
-        on the same connection are due after its own: they were ready for seconds, and
-        their callers never got them.
+        Otherwise a call that runs longer than that ends with a closed connection and no
+        answer. Pipelined calls behind it would lose their answers too, even finished
+        ones, because answers are sent in the order of the requests.
         """
         self.closes_at = closes_at
         self.deadlines.cap(closes_at)
 
     def no_route(self, request: Request) -> Answer:
-        """Answer a call that no route matches."""
+        """Answer a call that no route matches.
+
+        If the configuration may be out of date, a newer one may have the route: the
+        call is refused with 503 instead of answered with 404.
+        """
         if self.state.may_lack_a_route(clock.now()):
-            return self.refuse(request, "no-fresh-configuration", COME_BACK)
+            return self.refuse(request, "no-fresh-configuration", RETRY_AFTER_SECONDS)
         self.counts["", "404"] += 1
         self.log.call(
             "no-route",
@@ -169,64 +175,71 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(404, "no route")
+        return local_answer(404, "no route")
 
     def time_left(self, request: Request, route: Route) -> float:
-        """Return the seconds until the final answer is due."""
+        """Return the seconds until the final answer is due.
+
+        This is the smaller of the caller's header and the timeout of the route.
+        """
         text = request.header(self.names.time_left)
         try:
-            told = float(text) / 1000
+            requested = float(text) / 1000
         except ValueError:
             return route.timeout
-        return min(told, route.timeout)
+        return min(requested, route.timeout)
 
-    def too_late(self, route: Route, now: float) -> bool:
-        """Return whether this node might end before a new call does.
+    def would_outlast_node(self, route: Route, now: float) -> bool:
+        """Return whether this node might exit before a new call is done.
 
-        A node that is told to stop goes on serving the callers that have not moved
-        away. One that took a long call in its last seconds would cut it at its end, and
-        the caller would not know whether it ran.
+        A stopping node still serves the callers that have not moved away. A long call
+        accepted in its last seconds would be cut off by the exit, and the caller would
+        not know whether it ran.
         """
         usual = self.attempts.placing.mean.get(route.name, FIRST_GUESS)
-        return now + LONGEST * usual > self.closes_at
+        return now + LONGEST_CALL_FACTOR * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
-        """Return the request as upstreams get it."""
-        headers = end_to_end(request.headers, self.own_headers)
+        """Return the request as it is forwarded to upstreams."""
+        headers = end_to_end(request.headers, self.stripped_headers)
         headers += ((self.names.caller_service, self.service),)
         return replace(request, headers=headers)
 
     # Attempts.
 
     async def serve(self, progress: Progress) -> Answer:
-        """Try endpoints until there is a final answer."""
+        """Make attempts until there is a final answer."""
         while True:
             endpoint = self.attempts.choose(progress)
             if endpoint is None:
-                return self.final(progress, self.attempts.lacking(progress))
+                return self.final_answer(
+                    progress, self.attempts.no_endpoint_reason(progress)
+                )
             endpoint, outcome = await self.attempts.call(progress, endpoint)
-            progress.last = outcome
-            if not self.again(progress, endpoint, outcome):
-                return self.final(progress, "gave-up")
-
-    def again(self, progress: Progress, endpoint: Endpoint, outcome: Outcome) -> bool:
-        """Return whether another endpoint is tried."""
+            progress.last_outcome = outcome
+            if not self.should_retry(progress, endpoint, outcome):
+                return self.final_answer(progress, "gave-up")
+
+    def should_retry(
+        self, progress: Progress, endpoint: Endpoint, outcome: Outcome
+    ) -> bool:
+        """Record the outcome of an attempt; return whether to make another."""
         progress.tried.add(endpoint.incarnation)
-        fruitless = isinstance(outcome, NotRun) and not outcome.reached
-        if fruitless:
-            progress.fruitless += 1
-            decision = (
+        unreached = isinstance(outcome, NotRun) and not outcome.reached
+        if unreached:
+            progress.unreached += 1
+            retry = (
                 outcome.reason != Turned.HELD_BACK
-                and progress.fruitless <= FRUITLESS_MOST
+                and progress.unreached <= MAX_UNREACHED_ATTEMPTS
             )
         else:
             progress.reached += 1
             progress.may_have_run |= not isinstance(outcome, NotRun)
-            decision = self.repeat_allowed(progress, outcome)
+            retry = self.may_retry(progress, outcome)
         if isinstance(outcome, NotRun):
             progress.retry_after = min(progress.retry_after, outcome.retry_after)
             if outcome.reason == Turned.HELD_BACK:
-                # No other home lets it run sooner.
+                # All homes hold the request back for as long.
                 progress.retry_after = outcome.retry_after
         if not isinstance(outcome, Answer):
             self.reasons[outcome.reason] += 1
@@ -237,48 +250,58 @@
                 instance=endpoint.instance,
                 outcome=type(outcome).__name__,
                 reason=outcome.reason,
-                again=decision,
+                again=retry,
                 left=f"{progress.deadline - clock.now():.3f}",
                 version=self.state.version,
                 age=f"{self.peers.age():.2f}",
             )
-        return decision
+        return retry
 
-    def repeat_allowed(self, progress: Progress, outcome: Outcome) -> bool:
-        """Return whether a call that reached an upstream is sent to another."""
+    def may_retry(self, progress: Progress, outcome: Outcome) -> bool:
+        """Return whether a call that reached an upstream may be retried.
+
+        If so, the retry is taken out of the budget.
+        """
         if isinstance(outcome, Answer):
-            if outcome.status not in TRY_ELSEWHERE or not progress.route.idempotent:
+            if (
+                outcome.status not in RETRYABLE_STATUSES
+                or not progress.route.idempotent
+            ):
                 return False
         elif isinstance(outcome, Unknown) and not progress.route.idempotent:
             return False
         if progress.reached >= progress.route.attempts:
             return False
-        if self.attempts.held_seconds(progress):
+        if self.attempts.quarantine_seconds(progress):
             return False
-        if not self.attempts.others_left(progress):
+        if not self.attempts.has_candidates(progress):
             return False
-        return self.attempts.repeat(progress.service)
+        return self.attempts.take_retry(progress.service)
 
     # Final answers.
 
-    def final(self, progress: Progress, reason: str) -> Answer:
-        """Return the answer that the last attempt leaves."""
-        last = progress.last
-        if isinstance(last, Answer):
-            return last
-        if isinstance(last, Unknown):
-            # The home's clock may run out a moment before this node's.
-            status = 504 if last.reason == TIMED_OUT else 502
-            return self.fail(progress, status, last.reason)
+    def final_answer(self, progress: Progress, reason: str) -> Answer:
+        """Return the final answer to a call that is not tried again."""
+        last_outcome = progress.last_outcome
+        if isinstance(last_outcome, Answer):
+            return last_outcome
+        if isinstance(last_outcome, Unknown):
+            # The home's timer may expire a moment before this node's.
+            status = 504 if last_outcome.reason == TIMED_OUT else 502
+            return self.fail(progress, status, last_outcome.reason)
         if progress.may_have_run:
             return self.fail(progress, 502, reason)
-        if isinstance(last, NotRun):
+        if isinstance(last_outcome, NotRun):
             wait = max(progress.retry_after, LEAST_WAIT)
-            return self.refuse(progress.request, last.reason, wait, progress.service)
-        return self.refuse(progress.request, reason, COME_BACK, progress.service)
+            return self.refuse(
+                progress.request, last_outcome.reason, wait, progress.service
+            )
+        return self.refuse(
+            progress.request, reason, RETRY_AFTER_SECONDS, progress.service
+        )
 
     def timed_out(self, progress: Progress) -> Answer:
-        """Answer a call whose time is over while an attempt was under way."""
+        """Answer a call whose deadline passed during an attempt."""
         return self.fail(progress, 504, TIMED_OUT)
 
     def fail(self, progress: Progress, status: int, reason: str) -> Answer:
@@ -294,12 +317,12 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(status, reason)
+        return local_answer(status, reason)
 
     def refuse(
         self, request: Request, reason: str, retry_after: float, service: str = ""
     ) -> Answer:
-        """Answer a call that has not run and tell when to come back."""
+        """Answer a call that has not run, with a Retry-After header."""
         self.reasons[reason] += 1
         self.log.call(
             "call-refused",
@@ -311,4 +334,4 @@
             version=self.state.version,
             age=f"{self.peers.age():.2f}",
         )
-        return own_answer(503, reason, retry_after)
+        return local_answer(503, reason, retry_after)
--- a/sequoiaspoke/sidecar/healthserver.py
+++ b/sequoiaspoke/sidecar/healthserver.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.mesh.outcome import Answer
-from sequoiaspoke.sidecar.httptext import own_answer
+from sequoiaspoke.sidecar.httptext import local_answer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -54,16 +54,16 @@
         if path.startswith(RELEASE_PATH):
             return self.release_request(request, path.removeprefix(RELEASE_PATH))
         if path != self.path:
-            return own_answer(404, "no such page")
+            return local_answer(404, "no such page")
         reason = self.unready_reason()
         if reason:
-            return own_answer(503, reason, retry_after=0.5)
-        return own_answer(200, "ready")
+            return local_answer(503, reason, retry_after=0.5)
+        return local_answer(200, "ready")
 
     def release_request(self, request: Request, fingerprint: str) -> Answer:
         """Release a request that is suspected or in quarantine."""
         if request.method != "POST":
-            return own_answer(405, "use POST")
+            return local_answer(405, "use POST")
         if not self.release(fingerprint):
-            return own_answer(404, "no such request is suspected")
-        return own_answer(200, "released")
+            return local_answer(404, "no such request is suspected")
+        return local_answer(200, "released")
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -26,7 +26,7 @@
 from sequoiaspoke.sidecar.coldmonitor import ColdMonitor
 from sequoiaspoke.sidecar.crashdetector import CrashDetector, SentCall
 from sequoiaspoke.sidecar.crashguard import CrashGuard
-from sequoiaspoke.sidecar.homecall import Running
+from sequoiaspoke.sidecar.homecall import ActiveCall
 from sequoiaspoke.sidecar.outagelog import OutageLog
 from sequoiaspoke.sidecar.upstream import UNREACHABLE
 
@@ -73,7 +73,7 @@
         self.log = log
         self.admission = Admission(INITIAL_SLOTS)
         self.ledger = Ledger()
-        self.calls: dict[Hashable, Running] = {}
+        self.calls: dict[Hashable, ActiveCall] = {}
         self.leaving = False
         self.evacuated = False
         self.evacuation_ended_at = 0
@@ -105,7 +105,7 @@
             self.counts["asked-again"] += 1
             running = self.calls.get(key)
             if running is not None:
-                running.tell = on_outcome
+                running.on_outcome = on_outcome
             else:
                 on_outcome(known.outcome or Unknown("answer-forgotten"))
             return
@@ -131,7 +131,7 @@
             on_outcome(NotRun(refused.reason, refused.retry_after))
             return
         self.ledger.begin(key)
-        self.calls[key] = Running(call, on_outcome)
+        self.calls[key] = ActiveCall(call, on_outcome)
         if refused is not None:
             self.refuse(refused)
         self.dispatch()
@@ -195,7 +195,7 @@
             running.task = asyncio.ensure_future(self.run(arrival.ticket, running))
             running.task.add_done_callback(partial(self.task_ended, arrival.ticket))
 
-    async def run(self, key: Hashable, running: Running) -> None:
+    async def run(self, key: Hashable, running: ActiveCall) -> None:
         """Run a call at the upstream."""
         call = running.call
         outcome: Outcome | None = None
@@ -279,8 +279,8 @@
                 waiting=self.admission.waiting,
                 load=str(self.last_load) if self.last_load else "untold",
             )
-        if not running.dropped:
-            running.tell(outcome)
+        if not running.cancelled:
+            running.on_outcome(outcome)
 
     def refuse(self, refused: Refused) -> None:
         """Refuse a call that was accepted but has not started."""
@@ -332,10 +332,10 @@
         if running is None:
             return
         if self.admission.cancel(key):
-            running.dropped = True
+            running.cancelled = True
             self.finish(key, NotRun("cancelled"))
         elif running.call.idempotent and running.task is not None:
-            running.dropped = True
+            running.cancelled = True
             running.task.cancel()
 
     def tick(self, now: float) -> None:
--- a/sequoiaspoke/sidecar/race.py
+++ b/sequoiaspoke/sidecar/race.py
@@ -1,4 +1,4 @@
-"""One call of an entry and its attempts, of which the first good answer counts."""
+"""The state of a call at its entry and its concurrent attempts."""
 
 from __future__ import annotations
 
@@ -15,24 +15,30 @@
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
     from sequoiaspoke.core.mesh.placing import News
 
-# Statuses of an upstream after which a call that may run twice is tried elsewhere.
-TRY_ELSEWHERE = frozenset({500, 502, 503})
+# Statuses of an upstream after which an idempotent call is retried elsewhere.
+RETRYABLE_STATUSES = frozenset({500, 502, 503})
 
 
 @dataclass
 class Progress:
-    """How far the attempts to serve one call have come.
+    """The state of one call across its attempts.
 
     Attributes
     ----------
+    deadline, on_time : float
+        When the call times out, and until when an answer is on time.
     tried : set of Incarnation
-        Starts of upstreams that will not be tried again.
+        Incarnations of upstreams that will not be tried again.
     reached : int
-        Attempts that may have reached an upstream.
+        Number of attempts that may have reached an upstream.
     may_have_run : bool
         Whether one of them may have run.
+    unreached : int
+        Number of attempts that reached no upstream.
     retry_after : float
-        The soonest of the times that the homes told, in seconds.
+        Shortest Retry-After of the homes that refused the call, in seconds.
+    expired : bool
+        Whether the deadline has passed.
     """
 
     request: Request
@@ -43,28 +49,28 @@
     tried: set[Incarnation] = field(default_factory=set)
     reached: int = 0
     may_have_run: bool = False
-    fruitless: int = 0
+    unreached: int = 0
     retry_after: float = float("inf")
-    last: Outcome | None = None
+    last_outcome: Outcome | None = None
     race: Race | None = None
-    over: bool = False
+    expired: bool = False
 
-    def time_over(self) -> None:
-        """End the wait for an outcome, as the call's time is over."""
-        self.over = True
+    def expire(self) -> None:
+        """Mark the deadline as passed and end the wait for an outcome."""
+        self.expired = True
         if self.race is not None:
-            self.race.give_up()
+            self.race.time_out()
 
 
 class Attempt:
-    """One attempt, which is told its outcome once unless it is called off before.
+    """One attempt, which gets its outcome once unless it is cancelled first.
 
     Attributes
     ----------
-    call_off : callable
-        Tells the home that nobody waits any more.
+    cancel_at_home : callable
+        Cancels the call at its home.
     on_end, on_cancel : callable
-        Told of its outcome, or that it was called off.
+        Called with the outcome, or when the attempt is cancelled.
     """
 
     def __init__(
@@ -80,53 +86,53 @@
         self.progress = progress
         self.endpoint = endpoint
         self.race = race
-        self.over = False
-        self.call_off: Callable[[], None] | None = None
+        self.finished = False
+        self.cancel_at_home: Callable[[], None] | None = None
 
-    def take(self, outcome: Outcome, news: News) -> None:
-        """Take what came of the attempt, and the home's word with it."""
-        if self.over:
+    def finish(self, outcome: Outcome, report: News) -> None:
+        """Take the outcome of the attempt and the load report sent with it."""
+        if self.finished:
             return
-        self.over = True
-        self.on_end(self, outcome, news)
-        self.race.take(self, outcome)
+        self.finished = True
+        self.on_end(self, outcome, report)
+        self.race.attempt_finished(self, outcome)
 
     def cancel(self) -> None:
-        """Call the attempt off."""
-        if self.over:
+        """Cancel the attempt, also at its home."""
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         self.on_cancel(self)
-        if self.call_off is not None:
-            self.call_off()
+        if self.cancel_at_home is not None:
+            self.cancel_at_home()
 
 
 class Race:
-    """The attempts under way for one call.
+    """The concurrent attempts of one call.
 
-    The first answer that needs no repeat counts, or else the last outcome.
+    The first answer that needs no retry is the result, or else the last outcome.
     """
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
-        self.decided: asyncio.Future[tuple[Endpoint, Outcome]] = (
+        self.result: asyncio.Future[tuple[Endpoint, Outcome]] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def take(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take what came of an attempt."""
-        if self.decided.done():
+    def attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Take the outcome of an attempt."""
+        if self.result.done():
             return
-        good = isinstance(outcome, Answer) and outcome.status not in TRY_ELSEWHERE
-        if good or all(each.over for each in self.attempts):
-            self.decided.set_result((attempt.endpoint, outcome))
+        good = isinstance(outcome, Answer) and outcome.status not in RETRYABLE_STATUSES
+        if good or all(each.finished for each in self.attempts):
+            self.result.set_result((attempt.endpoint, outcome))
 
-    def give_up(self) -> None:
-        """End the race undecided."""
-        if not self.decided.done():
-            self.decided.set_exception(TimeoutError())
+    def time_out(self) -> None:
+        """Set TimeoutError as the result unless there is one."""
+        if not self.result.done():
+            self.result.set_exception(TimeoutError())
 
     def cancel(self) -> None:
-        """Call off whatever is still under way."""
+        """Cancel the attempts still under way."""
         for attempt in self.attempts:
             attempt.cancel()
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -16,7 +16,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.deadlines import Deadlines
 from sequoiaspoke.sidecar.httpclient import FRESH_SECONDS, connect, open_connection
-from sequoiaspoke.sidecar.httptext import end_to_end, request_text
+from sequoiaspoke.sidecar.httptext import encode_request, end_to_end
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -95,7 +95,7 @@
         connection = self.take_idle(idempotent) or await self.connect()
         if connection is None:
             return NotRun(UNREACHABLE)
-        idle_seconds = clock.now() - connection.used
+        idle_seconds = clock.now() - connection.last_used
         remaining = deadline - clock.now()
         if remaining <= 0:
             self.release(connection)
@@ -105,7 +105,7 @@
             (self.names.instance, instance),
         )
         call_id = request.header(self.names.call_id)
-        text = request_text(request, extra)
+        text = encode_request(request, extra)
         if connection.closed:
             return NotRun("connection-closed")
         started_at = clock.now()
@@ -120,7 +120,7 @@
             # that was idle for long may have been dropped for that reason.
             reset_limit = max(MIN_RESET_SECONDS, RESET_FRACTION * self.average_seconds)
             early = seconds < reset_limit and idle_seconds < FRESH_SECONDS
-            silent = outcome.reason == CONNECTION_LOST and not connection.answering
+            silent = outcome.reason == CONNECTION_LOST and not connection.answer_started
             return Unknown(RESET_AT_ONCE) if early and silent else outcome
         average = self.average_seconds or seconds
         self.average_seconds = average + NEWEST_WEIGHT * (seconds - average)
@@ -198,7 +198,7 @@
 
     def release(self, connection: ClientConnection) -> None:
         """Return a connection to the idle ones, or close it if it cannot be reused."""
-        if connection.tainted or connection.closed:
+        if connection.not_reusable or connection.closed:
             connection.close()
             return
         self.idle.append(connection)
