--- a/sequoiaspoke/core/mesh/__init__.py
+++ b/sequoiaspoke/core/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a sidecar: routes, placing, repeats, admission, endpoints."""
+"""Decisions of a sidecar: routes, balancing, retries, admission, endpoints."""
--- a/sequoiaspoke/core/mesh/admission.py
+++ b/sequoiaspoke/core/mesh/admission.py
@@ -26,12 +26,12 @@
 QUEUE_PER_SLOT = 6
 # Part of the expected time that must be left when a call is handed over; work varies,
 # and a call with half of its mean left still ends in time one time in ten.
-LEAST_LEFT = 0.5
+MIN_TIME_LEFT = 0.5
 # Part of the expected time within which most calls end; work varies by a third to a
 # half of its mean.
-WITHIN = 1.3
+DURATION_MARGIN = 1.3
 # Least Retry-After of a refusal, in seconds.
-LEAST_WAIT = 0.05
+MIN_RETRY_AFTER = 0.05
 
 
 # Places in the queue between two priorities, and how far ahead of its own a nested call
@@ -49,7 +49,7 @@
     return RANK_STEP * priority - (NESTED_AHEAD if nested else 0)
 
 
-class Turned(StrEnum):
+class RefusalReason(StrEnum):
     """Why a call was refused; each has a counter and is told to the entry."""
 
     LEAVING = "leaving"
@@ -101,7 +101,7 @@
     """
 
     arrival: Arrival
-    reason: Turned
+    reason: RefusalReason
     retry_after: float
 
 
@@ -117,7 +117,7 @@
 
     def __init__(self, slots: int) -> None:
         self.suspects: set[object] = set()
-        self.upstream = Slots(slots)
+        self.upstream_slots = Slots(slots)
         self.cold_start = ColdStart()
         self.queue: dict[object, Arrival] = {}
         self.durations = Durations()
@@ -125,25 +125,25 @@
     @property
     def slots(self) -> int:
         """Return how many calls the upstream runs at once."""
-        return self.upstream.count
+        return self.upstream_slots.count
 
-    def answered(self, load: Load | None, now: float) -> None:
+    def record_answer(self, load: Load | None, now: float) -> None:
         """Take an answer of the upstream, whose call still counts as running."""
-        self.upstream.answered(load, self.running, now)
+        self.upstream_slots.record_answer(load, self.running, now)
 
-    def refused_by_upstream(self, load: Load | None, now: float) -> None:
+    def record_refusal(self, load: Load | None, now: float) -> None:
         """Take a refusal by the upstream, whose call still counts as running."""
-        self.upstream.refused(load, self.running - 1, now)
+        self.upstream_slots.record_refusal(load, self.running - 1, now)
 
-    def turned_away(self, now: float) -> None:
+    def record_reset(self, now: float) -> None:
         """Take a reset in place of an answer, whose call still counts as running."""
-        self.upstream.full(self.running, now)
+        self.upstream_slots.record_reset(self.running, now)
 
     def free_slots(self, now: float) -> int:
         """Return how many more calls the upstream can run."""
-        free = self.upstream.free(self.running, now)
-        room = self.cold_start.room(now)
-        return free if room is None else min(free, room)
+        free = self.upstream_slots.free(self.running, now)
+        cold_limit = self.cold_start.remaining(now)
+        return free if cold_limit is None else min(free, cold_limit)
 
     @property
     def running(self) -> int:
@@ -157,14 +157,16 @@
 
     def arrive(self, arrival: Arrival, now: float) -> Refused | None:
         """Queue a call; return the one that is refused for it, if any."""
-        if self.closed(arrival, now):
-            return self.refuse_closed(arrival)
-        wait = max(self.wait_before(arrival, now), self.wait_apart(arrival, now))
-        if now + wait + self.least(arrival, now) > arrival.deadline:
-            return Refused(arrival, Turned.NO_TIME, max(wait, LEAST_WAIT))
+        if self.would_be_reset(arrival, now):
+            return self.refuse_full(arrival)
+        wait = max(self.queue_wait(arrival, now), self.suspect_wait(arrival, now))
+        if now + wait + self.min_duration(arrival, now) > arrival.deadline:
+            return Refused(arrival, RefusalReason.NO_TIME, max(wait, MIN_RETRY_AFTER))
         ahead = sum(each.rank <= arrival.rank for each in self.queue.values())
-        if ahead >= self.slots and self.late(arrival, now + wait):
-            return Refused(arrival, Turned.OVERLOADED, max(wait, LEAST_WAIT))
+        if ahead >= self.slots and self.would_be_late(arrival, now + wait):
+            return Refused(
+                arrival, RefusalReason.OVERLOADED, max(wait, MIN_RETRY_AFTER)
+            )
         refused = self.make_room(arrival, wait, now)
         if refused is None or refused.arrival is not arrival:
             self.queue[arrival.ticket] = arrival
@@ -178,29 +180,29 @@
         """
         if self.waiting < self.slots * QUEUE_PER_SLOT:
             return None
-        last = max(self.queue.values(), key=lambda each: self.turn(each, now))
-        if self.turn(last, now) <= self.turn(arrival, now):
+        last = max(self.queue.values(), key=lambda each: self.sort_key(each, now))
+        if self.sort_key(last, now) <= self.sort_key(arrival, now):
             last = arrival
         else:
             del self.queue[last.ticket]
-        return Refused(last, Turned.QUEUE_FULL, max(wait, LEAST_WAIT))
+        return Refused(last, RefusalReason.QUEUE_FULL, max(wait, MIN_RETRY_AFTER))
 
-    def least(self, arrival: Arrival, now: float) -> float:
+    def min_duration(self, arrival: Arrival, now: float) -> float:
         """Return the seconds that a call needs at least."""
-        return LEAST_LEFT * self.durations.expected(arrival.route, now)
+        return MIN_TIME_LEFT * self.durations.expected(arrival.route, now)
 
-    def wait_before(self, arrival: Arrival, now: float) -> float:
+    def queue_wait(self, arrival: Arrival, now: float) -> float:
         """Return the seconds until a new call would get a slot."""
-        return self.wait_of_rank(arrival.rank, now)
+        return self.wait_for_rank(arrival.rank, now)
 
-    def wait_apart(self, arrival: Arrival, now: float) -> float:
+    def suspect_wait(self, arrival: Arrival, now: float) -> float:
         """Return the seconds until the suspects before a new call have run."""
         if arrival.ticket not in self.suspects:
             return 0.0
         before = len(self.suspects) - 1
         return before * self.durations.expected(arrival.route, now)
 
-    def wait_of_rank(self, rank: int, now: float) -> float:
+    def wait_for_rank(self, rank: int, now: float) -> float:
         """Return the seconds until a new call of a priority would get a slot.
 
         With all slots busy one is free after a mean call divided by the slots.
@@ -217,60 +219,60 @@
 
     def next(self, now: float) -> tuple[Arrival | None, list[Refused]]:
         """Return the call to hand over now, and those it is too late for."""
-        refused = self.overdue(now)
+        refused = self.drop_overdue(now)
         if not self.queue or not self.free_slots(now):
             return None, refused
         ready = [
             each
             for each in self.queue.values()
-            if self.upstream.admits(each.idempotent, self.running, now)
-            and self.may_run_beside(each)
+            if self.upstream_slots.admits(each.idempotent, self.running, now)
+            and self.may_run_now(each)
         ]
         if not ready:
             return None, refused
         # Of equals the first in the order of arrival.
-        arrival = min(ready, key=lambda each: self.turn(each, now))
+        arrival = min(ready, key=lambda each: self.sort_key(each, now))
         del self.queue[arrival.ticket]
         self.durations.begin(arrival.ticket, arrival.route, now)
         self.cold_start.begin(arrival.ticket)
         return arrival, refused
 
-    def may_run_beside(self, arrival: Arrival) -> bool:
+    def may_run_now(self, arrival: Arrival) -> bool:
         """Return whether a call may run beside those that do."""
         if arrival.ticket not in self.suspects:
             return True
         return self.suspects.isdisjoint(self.durations.running)
 
-    def turn(self, arrival: Arrival, now: float) -> tuple[int, bool]:
+    def sort_key(self, arrival: Arrival, now: float) -> tuple[int, bool]:
         """Return what orders the calls that wait."""
-        return (arrival.rank, self.late(arrival, now))
+        return (arrival.rank, self.would_be_late(arrival, now))
 
-    def late(self, arrival: Arrival, begin: float) -> bool:
+    def would_be_late(self, arrival: Arrival, begin: float) -> bool:
         """Return whether a call that begins at some time would be late."""
         expected = self.durations.expected(arrival.route, begin)
-        return begin + WITHIN * expected > arrival.on_time
+        return begin + DURATION_MARGIN * expected > arrival.on_time
 
-    def overdue(self, now: float) -> list[Refused]:
+    def drop_overdue(self, now: float) -> list[Refused]:
         """Take out the waiting calls that could not be answered any more."""
         refused = []
         for arrival in self.queue.values():
-            if self.closed(arrival, now):
-                refused.append(self.refuse_closed(arrival))
-            elif now + self.least(arrival, now) > arrival.deadline:
+            if self.would_be_reset(arrival, now):
+                refused.append(self.refuse_full(arrival))
+            elif now + self.min_duration(arrival, now) > arrival.deadline:
                 wait = self.durations.overall
-                refused.append(Refused(arrival, Turned.NO_TIME, wait))
+                refused.append(Refused(arrival, RefusalReason.NO_TIME, wait))
         for each in refused:
             del self.queue[each.arrival.ticket]
         return refused
 
-    def closed(self, arrival: Arrival, now: float) -> bool:
+    def would_be_reset(self, arrival: Arrival, now: float) -> bool:
         """Return whether a call is an order and the upstream resets what comes."""
-        return not arrival.idempotent and self.upstream.closed(now)
+        return not arrival.idempotent and self.upstream_slots.resetting(now)
 
-    def refuse_closed(self, arrival: Arrival) -> Refused:
+    def refuse_full(self, arrival: Arrival) -> Refused:
         """Return the refusal of an order, until a read tells of a free slot."""
-        wait = max(self.durations.overall, LEAST_WAIT)
-        return Refused(arrival, Turned.UPSTREAM_FULL, wait)
+        wait = max(self.durations.overall, MIN_RETRY_AFTER)
+        return Refused(arrival, RefusalReason.UPSTREAM_FULL, wait)
 
     def cancel(self, ticket: object) -> bool:
         """Take a call out of the queue; return whether it waited there."""
@@ -287,12 +289,12 @@
 
     def abandon(self, ticket: object, now: float) -> None:
         """Note that a running call was cancelled; its slot may not be free yet."""
-        self.upstream.abandon(now)
+        self.upstream_slots.abandon(now)
         self.cold_start.end(ticket)
         self.durations.end(ticket, False, now)
 
     def restarted(self) -> None:
         """Note that the upstream started anew, cold and with nothing to do."""
-        self.durations.forget()
-        self.upstream.restarted()
+        self.durations.reset()
+        self.upstream_slots.restarted()
         self.cold_start.restarted()
--- a/sequoiaspoke/core/mesh/coldstart.py
+++ b/sequoiaspoke/core/mesh/coldstart.py
@@ -22,9 +22,9 @@
 BOUND_SECONDS, BOUND_MARGIN = 1.0, 0.1
 WINDOW = BOUND_SECONDS + BOUND_MARGIN
 # Calls of the bound that are left to health checks.
-CHECKS = 1
+HEALTH_CHECK_CALLS = 1
 # Seconds for which an upstream in doubt is taken for cold if its service names none.
-DOUBT_SECONDS = 3.0
+ASSUMED_COLD_SECONDS = 3.0
 
 
 @dataclass(frozen=True)
@@ -42,11 +42,11 @@
     overage: float = 1.0
     slack: float = 0.0
 
-    def most(self, rate: float) -> int | None:
+    def max_calls(self, rate: float) -> int | None:
         """Return the calls that a cold upstream may get in a second, None for any."""
         if not rate:
             return None
-        return max(1, int(rate * self.overage + self.slack) - CHECKS)
+        return max(1, int(rate * self.overage + self.slack) - HEALTH_CHECK_CALLS)
 
 
 class ColdStart:
@@ -71,27 +71,27 @@
     """
 
     def __init__(self) -> None:
-        self.most: int | None = None
+        self.max_calls: int | None = None
         self.cold_until = float("-inf")
-        self.doubted_until = float("-inf")
-        self.closed_until = float("-inf")
+        self.assumed_cold_until = float("-inf")
+        self.blocked_until = float("-inf")
         self.unsent: set[object] = set()
         self.sent: deque[float] = deque()
 
-    def doubt(self, now: float, seconds: float = DOUBT_SECONDS) -> None:
+    def assume_cold(self, now: float, seconds: float = ASSUMED_COLD_SECONDS) -> None:
         """Note that the upstream may have become cold unseen."""
-        self.doubted_until = now + (seconds or DOUBT_SECONDS)
+        self.assumed_cold_until = now + (seconds or ASSUMED_COLD_SECONDS)
 
-    def doubted(self, now: float) -> bool:
+    def assumed_cold(self, now: float) -> bool:
         """Return whether only the upstream itself could tell if it is cold."""
-        return self.most is not None and now < self.doubted_until
+        return self.max_calls is not None and now < self.assumed_cold_until
 
-    def told(self, seconds: float, now: float) -> None:
+    def record_cold_time(self, seconds: float, now: float) -> None:
         """Take the upstream's own word on how much longer it stays cold."""
         self.cold_until = now + seconds
-        self.doubted_until = float("-inf")
+        self.assumed_cold_until = float("-inf")
 
-    def published(self, until: float) -> None:
+    def record_published(self, until: float) -> None:
         """Take the word of the upstream's entry, which may be a report old."""
         self.cold_until = max(self.cold_until, until)
 
@@ -105,21 +105,21 @@
         A new process does not know what the one before it handed over in its last
         second; both together would exceed the bound.
         """
-        self.closed_until = since + WINDOW
+        self.blocked_until = since + WINDOW
 
     def cold(self, now: float) -> bool:
         """Return whether the upstream is taken for cold."""
-        return now < max(self.cold_until, self.doubted_until)
+        return now < max(self.cold_until, self.assumed_cold_until)
 
     def begin(self, ticket: object) -> None:
         """Note that a call is handed over."""
-        if self.most is not None:
+        if self.max_calls is not None:
             self.unsent.add(ticket)
 
     def send(self, ticket: object, now: float) -> None:
         """Note that a call goes out to the upstream."""
         self.unsent.discard(ticket)
-        if self.most is not None:
+        if self.max_calls is not None:
             self.trim(now)
             self.sent.append(now)
 
@@ -132,25 +132,25 @@
         while self.sent and self.sent[0] <= now - WINDOW:
             self.sent.popleft()
 
-    def room(self, now: float) -> int | None:
+    def remaining(self, now: float) -> int | None:
         """Return how many calls may be handed over now; None for any number."""
-        if self.most is None or not self.cold(now):
+        if self.max_calls is None or not self.cold(now):
             return None
-        if now < self.closed_until:
+        if now < self.blocked_until:
             return 0
         self.trim(now)
-        return max(0, self.most - len(self.sent) - len(self.unsent))
+        return max(0, self.max_calls - len(self.sent) - len(self.unsent))
 
     def wait(self, ahead: int, now: float) -> float:
         """Return the seconds until a call may be handed over after others."""
-        room = self.room(now)
-        if room is None or self.most is None or ahead < room:
+        remaining = self.remaining(now)
+        if remaining is None or self.max_calls is None or ahead < remaining:
             return 0.0
-        windows, place = divmod(ahead - room, self.most)
+        windows, place = divmod(ahead - remaining, self.max_calls)
         if place < len(self.sent):
             freed = self.sent[place] + WINDOW
         else:
             freed = now + WINDOW if self.unsent else now
-        until = max(freed, self.closed_until) + windows * WINDOW
+        until = max(freed, self.blocked_until) + windows * WINDOW
         # At the end of the cold time all may go.
-        return max(0.0, min(until, max(self.cold_until, self.doubted_until)) - now)
+        return max(0.0, min(until, max(self.cold_until, self.assumed_cold_until)) - now)
--- a/sequoiaspoke/core/mesh/directory.py
+++ b/sequoiaspoke/core/mesh/directory.py
@@ -27,7 +27,7 @@
     from collections.abc import Iterable
 
     from sequoiaspoke.core.mesh.held import Group
-    from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Published
+    from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, PublishedEndpoint
 
 # Seconds for which an instance that left is remembered, so that late news from a
 # lagging node does not bring it back; beyond any drain and any lag of a peer.
@@ -135,7 +135,7 @@
 
     def reconcile(
         self,
-        listed: Iterable[Published],
+        listed: Iterable[PublishedEndpoint],
         revision: int,
         now: float,
         trusted: bool = False,
--- a/sequoiaspoke/core/mesh/durations.py
+++ b/sequoiaspoke/core/mesh/durations.py
@@ -10,14 +10,14 @@
 
 # Weight of the newest measurement: a change shows after some seven calls, less than
 # half a second of traffic, and one slow call in a hundred moves little.
-NEWEST = 0.12
+NEWEST_WEIGHT = 0.12
 # Seconds without a measurement after which an estimate halves.
-FORGET_SECONDS = 4.0
+STALE_SECONDS = 4.0
 # Guess of the seconds of a call before the first was measured.
-FIRST_GUESS = 0.1
+INITIAL_ESTIMATE = 0.1
 # A call that lasts so many times as long as expected tells that its upstream is slow;
 # work varies by a third and more, one call in a hundred takes five times as long.
-STRAINED = 1.5
+SLOWDOWN_THRESHOLD = 1.5
 
 
 class Durations:
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.mean: dict[str, tuple[float, int, float]] = {}
-        self.overall = FIRST_GUESS
+        self.overall = INITIAL_ESTIMATE
         self.running: dict[object, tuple[str, float]] = {}
 
     def begin(self, ticket: object, route: str, now: float) -> None:
@@ -39,21 +39,21 @@
             return
         seconds = now - begun
         mean, count, _ = self.mean.get(route, (seconds, 0, now))
-        weight = max(NEWEST, 1 / (count + 1))
+        weight = max(NEWEST_WEIGHT, 1 / (count + 1))
         self.mean[route] = (mean + weight * (seconds - mean), count + 1, now)
-        self.overall += NEWEST * (seconds - self.overall)
+        self.overall += NEWEST_WEIGHT * (seconds - self.overall)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget what was measured; the calls under way go on."""
         self.mean.clear()
-        self.overall = FIRST_GUESS
+        self.overall = INITIAL_ESTIMATE
 
     def expected(self, route: str, now: float) -> float:
         """Return the seconds that a call of a route takes."""
         mean, _, measured = self.mean.get(route, (self.overall, 0, now))
         age = now - measured
-        if age > FORGET_SECONDS:
-            mean *= 0.5 ** (age / FORGET_SECONDS - 1)
+        if age > STALE_SECONDS:
+            mean *= 0.5 ** (age / STALE_SECONDS - 1)
         return mean
 
     def mean_running(self, now: float) -> float:
@@ -63,7 +63,7 @@
         total = sum(self.expected(route, now) for route, _ in self.running.values())
         return total / len(self.running)
 
-    def strain(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return how much longer than expected the running calls last, at least 1."""
         if not self.running:
             return 1.0
@@ -71,4 +71,4 @@
         for route, begun in self.running.values():
             total += (now - begun) / max(self.expected(route, now), 0.001)
         ratio = total / len(self.running)
-        return ratio if ratio > STRAINED else 1.0
+        return ratio if ratio > SLOWDOWN_THRESHOLD else 1.0
--- a/sequoiaspoke/core/mesh/held.py
+++ b/sequoiaspoke/core/mesh/held.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.model import Published
+from sequoiaspoke.core.mesh.model import PublishedEndpoint
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Held(Published):
+class Held(PublishedEndpoint):
     """What is known of a published endpoint here."""
 
     cold_until: float = 0.0
--- a/sequoiaspoke/core/mesh/knowledge.py
+++ b/sequoiaspoke/core/mesh/knowledge.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.configdelta import ConfigDelta
     from sequoiaspoke.core.mesh.evacuation import Evacuation
-    from sequoiaspoke.core.mesh.model import Departure, Published
+    from sequoiaspoke.core.mesh.model import Departure, PublishedEndpoint
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     revision: int
     as_of: float
     whole: bool = False
-    endpoints: tuple[Published, ...] = ()
+    endpoints: tuple[PublishedEndpoint, ...] = ()
     gone: tuple[Departure, ...] = ()
     lapsing: tuple[Departure, ...] = ()
     config: ConfigDelta | None = None
--- a/sequoiaspoke/core/mesh/ledger.py
+++ b/sequoiaspoke/core/mesh/ledger.py
@@ -18,14 +18,14 @@
 
 # Seconds for which a finished call is known. Above the longest time in which an entry
 # finds a dead link and opens another.
-KEPT_SECONDS = 10.0
+RETENTION_SECONDS = 10.0
 # Bytes of kept answers, at most; an older one is dropped first and then told as
 # unknown. Keeps a node small when answers are large.
-KEPT_BYTES = 2 << 20
+MAX_ANSWER_BYTES = 2 << 20
 
 
 @dataclass
-class Entry:
+class CallRecord:
     """A call that arrived here.
 
     Attributes
@@ -43,43 +43,43 @@
     """The calls that arrived at this home, by their entry's number for them."""
 
     def __init__(self) -> None:
-        self.calls: dict[Hashable, Entry] = {}
-        self.done: dict[Hashable, float] = {}
+        self.calls: dict[Hashable, CallRecord] = {}
+        self.finish_times: dict[Hashable, float] = {}
         self.bytes = 0
 
-    def find(self, key: Hashable) -> Entry | None:
+    def find(self, key: Hashable) -> CallRecord | None:
         """Return what is known of a call."""
         return self.calls.get(key)
 
     def begin(self, key: Hashable) -> None:
         """Note a call that arrived for the first time."""
-        self.calls[key] = Entry()
+        self.calls[key] = CallRecord()
 
     def finish(self, key: Hashable, outcome: Any, size: int, now: float) -> None:
         """Keep what came of a call for a while."""
-        entry = self.calls.get(key)
-        if entry is None:
+        record = self.calls.get(key)
+        if record is None:
             return
-        entry.finished, entry.outcome, entry.size = now, outcome, size
-        self.done[key] = now
+        record.finished, record.outcome, record.size = now, outcome, size
+        self.finish_times[key] = now
         self.bytes += size
-        if self.bytes > KEPT_BYTES:
-            self.shrink()
+        if self.bytes > MAX_ANSWER_BYTES:
+            self.drop_oldest_answers()
 
-    def shrink(self) -> None:
+    def drop_oldest_answers(self) -> None:
         """Drop the oldest answers, but not that their calls have run."""
-        for key in self.done:
-            if self.bytes <= KEPT_BYTES:
+        for key in self.finish_times:
+            if self.bytes <= MAX_ANSWER_BYTES:
                 return
-            entry = self.calls[key]
-            self.bytes -= entry.size
-            entry.outcome, entry.size = None, 0
+            record = self.calls[key]
+            self.bytes -= record.size
+            record.outcome, record.size = None, 0
 
     def expire(self, now: float) -> None:
         """Forget the calls that finished long ago."""
-        while self.done:
-            key, finished = next(iter(self.done.items()))
-            if finished + KEPT_SECONDS > now:
+        while self.finish_times:
+            key, finished = next(iter(self.finish_times.items()))
+            if finished + RETENTION_SECONDS > now:
                 return
             self.bytes -= self.calls.pop(key).size
-            del self.done[key]
+            del self.finish_times[key]
--- a/sequoiaspoke/core/mesh/model.py
+++ b/sequoiaspoke/core/mesh/model.py
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True)
-class Published:
+class PublishedEndpoint:
     """An endpoint and the state of its entry in the store.
 
     Attributes
--- a/sequoiaspoke/core/mesh/outcome.py
+++ b/sequoiaspoke/core/mesh/outcome.py
@@ -51,8 +51,8 @@
         Each attempt of a caller has an id and a time of its own and may come by any
         node, so that neither the id nor the other headers are part of it.
         """
-        words = (self.method, self.header("host").lower(), self.target)
-        digest = blake2b("\0".join(words).encode(), digest_size=FINGERPRINT_BYTES)
+        parts = (self.method, self.header("host").lower(), self.target)
+        digest = blake2b("\0".join(parts).encode(), digest_size=FINGERPRINT_BYTES)
         digest.update(b"\0")
         digest.update(self.body)
         return digest.hexdigest()
@@ -88,7 +88,7 @@
 
     reason: str
     retry_after: float = 0.0
-    reached: bool = False
+    from_upstream: bool = False
 
 
 @dataclass(frozen=True)
--- a/sequoiaspoke/core/mesh/repeats.py
+++ b/sequoiaspoke/core/mesh/retrybudget.py
@@ -16,11 +16,11 @@
 # and those count as repeats of the services that they reach: with 1.4 nested calls for
 # each of a service as busy as the one called, 0.52 is the most. Windows of nodes do
 # not line up either.
-MARGIN = 0.45
+USED_SHARE = 0.45
 
 
 @dataclass(frozen=True)
-class RepeatLimits:
+class RetryLimits:
     """How many repeats all nodes together may send to a service.
 
     Attributes
@@ -38,17 +38,17 @@
     window: float = 10.0
 
 
-class RepeatBudget:
+class RetryBudget:
     """The calls and repeats of one service at this node."""
 
-    def __init__(self, limits: RepeatLimits) -> None:
+    def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
-        self.firsts: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.first_attempts: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
-    def first(self, now: float) -> None:
+    def record_first(self, now: float) -> None:
         """Note a first attempt."""
-        self.firsts.append(now)
+        self.first_attempts.append(now)
         self.trim(now)
 
     def spend(self, nodes: int, now: float) -> bool:
@@ -60,31 +60,31 @@
             Nodes among which the slack is divided.
         """
         self.trim(now)
-        allowed = self.limits.ratio * len(self.firsts)
+        allowed = self.limits.ratio * len(self.first_attempts)
         allowed += self.limits.slack / max(1, nodes)
-        if len(self.repeats) + 1 > allowed * MARGIN:
+        if len(self.retries) + 1 > allowed * USED_SHARE:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     def trim(self, now: float) -> None:
         """Forget what lies before the window."""
         since = now - self.limits.window
-        for times in (self.firsts, self.repeats):
+        for times in (self.first_attempts, self.retries):
             while times and times[0] < since:
                 times.popleft()
 
 
-class RepeatBudgets:
+class RetryBudgets:
     """The budgets of all services."""
 
-    def __init__(self, limits: RepeatLimits) -> None:
+    def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
-        self.by_service: dict[str, RepeatBudget] = {}
+        self.by_service: dict[str, RetryBudget] = {}
 
-    def of(self, service: str) -> RepeatBudget:
+    def of(self, service: str) -> RetryBudget:
         """Return the budget of a service."""
         budget = self.by_service.get(service)
         if budget is None:
-            budget = self.by_service[service] = RepeatBudget(self.limits)
+            budget = self.by_service[service] = RetryBudget(self.limits)
         return budget
--- a/sequoiaspoke/core/mesh/sample.py
+++ b/sequoiaspoke/core/mesh/sample.py
@@ -20,15 +20,15 @@
 
 # Services of so many endpoints are compared whole: an entry hears of each of them
 # several times a second, and one slow or failing endpoint is a good part of them.
-COMPARED_WHOLE = 8
+FULL_COMPARISON_LIMIT = 8
 # Endpoints drawn from the own zone, and from all zones beside them. With more, entries
 # agree on the same endpoints; with fewer, a slow one is often the best that was drawn.
-NEAR, ANYWHERE = 2, 1
+SAME_ZONE_DRAWS, ANY_ZONE_DRAWS = 2, 1
 # Draws for each endpoint wanted; most fail only where most endpoints are out of reach.
-DRAWS = 3
+DRAWS_PER_ENDPOINT = 3
 
 
-class Sample:
+class Sampler:
     """Draws endpoints at random."""
 
     def __init__(self, rng: Random) -> None:
@@ -37,8 +37,8 @@
     def candidates(
         self,
         endpoints: Sequence[Endpoint],
-        near: Sequence[Endpoint],
-        is_open: Callable[[Endpoint], bool],
+        same_zone: Sequence[Endpoint],
+        is_eligible: Callable[[Endpoint], bool],
     ) -> list[Endpoint]:
         """Return a few endpoints that are open to a call; none only if all are closed.
 
@@ -49,27 +49,29 @@
         is_open : callable
             Whether the call may be tried at an endpoint.
         """
-        if len(endpoints) <= COMPARED_WHOLE:
-            return [each for each in endpoints if is_open(each)]
-        drawn = self.draw(near, NEAR, is_open)
+        if len(endpoints) <= FULL_COMPARISON_LIMIT:
+            return [each for each in endpoints if is_eligible(each)]
+        drawn = self.draw(same_zone, SAME_ZONE_DRAWS, is_eligible)
         # With the own zone empty all come from elsewhere: one drawn alone would be a
         # choice by chance, and other zones would not be loaded by the room they have.
-        drawn += self.draw(endpoints, NEAR + ANYWHERE - len(drawn), is_open)
-        return drawn or [each for each in endpoints if is_open(each)]
+        drawn += self.draw(
+            endpoints, SAME_ZONE_DRAWS + ANY_ZONE_DRAWS - len(drawn), is_eligible
+        )
+        return drawn or [each for each in endpoints if is_eligible(each)]
 
     def draw(
         self,
         endpoints: Sequence[Endpoint],
         wanted: int,
-        is_open: Callable[[Endpoint], bool],
+        is_eligible: Callable[[Endpoint], bool],
     ) -> list[Endpoint]:
         """Return so many endpoints at most, each once."""
         drawn: list[Endpoint] = []
         if not endpoints:
             return drawn
-        for _ in range(DRAWS * wanted):
+        for _ in range(DRAWS_PER_ENDPOINT * wanted):
             endpoint = endpoints[int(self.rng.random() * len(endpoints))]
-            if is_open(endpoint) and endpoint not in drawn:
+            if is_eligible(endpoint) and endpoint not in drawn:
                 drawn.append(endpoint)
                 if len(drawn) == wanted:
                     break
--- a/sequoiaspoke/core/mesh/slots.py
+++ b/sequoiaspoke/core/mesh/slots.py
@@ -22,17 +22,17 @@
 # Seconds after which the upstream's word on calls that are not ours counts for half;
 # calls take tenths of a second, so that it is soon out of date. Forgotten at once, a
 # full load would be sent beside the last of them before an answer could tell.
-FOREIGN_SECONDS = 0.5
+FOREIGN_HALF_LIFE = 0.5
 # Seconds for which the slot of a cancelled call stays taken: the upstream drops the
 # call when it sees its connection close, and until then one more would be too many.
-SETTLE_SECONDS = 0.02
+CANCEL_SECONDS = 0.02
 # Seconds from the first call on after which an order may be the first to be sent, if no
 # read has come: most calls of the process before have ended by then.
 READS_FIRST_SECONDS = 0.2
 # Seconds after a reset for which no order is sent unless the upstream has answered
 # something since. Longer than nearly every call takes; an upstream that goes on
 # resetting gets one order in this time.
-CLOSED_SECONDS = 3.0
+RESETTING_SECONDS = 3.0
 # Seconds after a reset in which nothing is sent, so that a slot is free again.
 RESET_PAUSE = 0.05
 
@@ -85,66 +85,66 @@
 
     def __init__(self, published: int) -> None:
         self.published = published
-        self.told = 0
+        self.reported = 0
         self.foreign = 0
-        self.foreign_told = float("-inf")
-        self.heard = True
-        self.asked = float("inf")
-        self.full_until = float("-inf")
-        self.closed_until = float("-inf")
+        self.foreign_at = float("-inf")
+        self.has_answered = True
+        self.waiting_since = float("inf")
+        self.paused_until = float("-inf")
+        self.resetting_until = float("-inf")
         self.counts_answered: bool | None = None
-        self.doubt = 0
+        self.uncertain_calls = 0
         self.abandoned: list[float] = []
 
     @property
     def count(self) -> int:
         """Return how many calls the upstream runs at once; the lesser word counts."""
-        return min(self.published, self.told) if self.told else self.published
+        return min(self.published, self.reported) if self.reported else self.published
 
     def free(self, running: int, now: float) -> int:
         """Return how many more calls may be sent beside those of this node."""
-        if now < self.full_until:
+        if now < self.paused_until:
             return 0
-        room = self.room(running, now)
-        if room > 0:
-            return room
+        remaining = self.remaining(running, now)
+        if remaining > 0:
+            return remaining
         # One call is let through, as only its answer tells of a change.
-        return 0 if running or self.lingering(running, now) else 1
+        return 0 if running or self.cancelled_calls(running, now) else 1
 
-    def room(self, running: int, now: float) -> int:
+    def remaining(self, running: int, now: float) -> int:
         """Return how many slots are left, by what is known."""
-        taken = running + self.lingering(running, now) + self.foreign_calls(now)
+        taken = running + self.cancelled_calls(running, now) + self.foreign_calls(now)
         return self.count - taken
 
     def admits(self, idempotent: bool, running: int, now: float) -> bool:
         """Return whether a call of a kind may be the next to be sent."""
         if idempotent:
             return True
-        if self.heard and self.room(running, now) > self.doubt:
+        if self.has_answered and self.remaining(running, now) > self.uncertain_calls:
             return True
-        if self.closed(now):
+        if self.resetting(now):
             return False
-        self.asked = min(self.asked, now)
+        self.waiting_since = min(self.waiting_since, now)
         # While a read runs there its answer is worth waiting for.
-        return not running and now >= self.asked + READS_FIRST_SECONDS
+        return not running and now >= self.waiting_since + READS_FIRST_SECONDS
 
-    def closed(self, now: float) -> bool:
+    def resetting(self, now: float) -> bool:
         """Return whether an order would be lost, as the upstream resets what comes."""
-        return now < self.closed_until
+        return now < self.resetting_until
 
-    def lingering(self, running: int, now: float) -> int:
+    def cancelled_calls(self, running: int, now: float) -> int:
         """Return how many cancelled calls are taken to hold a slot."""
-        if running and self.told:
+        if running and self.reported:
             return len(self.abandoned)
-        return sum(now < since + SETTLE_SECONDS for since in self.abandoned)
+        return sum(now < since + CANCEL_SECONDS for since in self.abandoned)
 
     def foreign_calls(self, now: float) -> int:
         """Return how many calls of others the upstream is taken to have."""
         if not self.foreign:
             return 0
-        return self.foreign >> min(8, int((now - self.foreign_told) / FOREIGN_SECONDS))
+        return self.foreign >> min(8, int((now - self.foreign_at) / FOREIGN_HALF_LIFE))
 
-    def answered(self, load: Load | None, running: int, now: float) -> None:
+    def record_answer(self, load: Load | None, running: int, now: float) -> None:
         """Take an answer and the upstream's word on its load.
 
         Parameters
@@ -152,18 +152,20 @@
         running : int
             Calls of this node at the upstream, the answered one included.
         """
-        self.heard = True
-        self.asked = float("inf")
-        self.closed_until = float("-inf")
+        self.has_answered = True
+        self.waiting_since = float("inf")
+        self.resetting_until = float("-inf")
         if load is None:
             self.foreign = 0
             return
-        self.learn_counting(load, running)
+        self.detect_counting(load, running)
         own = running - 1 if self.counts_answered is False else running
-        self.doubt = int(self.counts_answered is None and load.calls > running)
-        self.take_load(load, own + self.doubt, now)
+        self.uncertain_calls = int(
+            self.counts_answered is None and load.calls > running
+        )
+        self.apply_load(load, own + self.uncertain_calls, now)
 
-    def refused(self, load: Load | None, running: int, now: float) -> None:
+    def record_refusal(self, load: Load | None, running: int, now: float) -> None:
         """Take a refusal by the upstream itself, which never counts its call.
 
         Parameters
@@ -171,21 +173,21 @@
         running : int
             Calls of this node at the upstream, without the refused one.
         """
-        self.heard = True
+        self.has_answered = True
         if load is not None:
-            self.take_load(load, running, now)
+            self.apply_load(load, running, now)
 
-    def take_load(self, load: Load, own: int, now: float) -> None:
+    def apply_load(self, load: Load, own: int, now: float) -> None:
         """Take the upstream's load, of which so many calls are those of this node."""
-        self.told = load.slots
+        self.reported = load.slots
         # The load shows those that were cancelled a while ago, if they run on.
         self.abandoned = [
-            since for since in self.abandoned if now < since + SETTLE_SECONDS
+            since for since in self.abandoned if now < since + CANCEL_SECONDS
         ]
         self.foreign = max(0, load.calls - own - len(self.abandoned))
-        self.foreign_told = now
+        self.foreign_at = now
 
-    def full(self, running: int, now: float) -> None:
+    def record_reset(self, running: int, now: float) -> None:
         """Note that the upstream reset a call at once instead of an answer.
 
         Parameters
@@ -194,15 +196,15 @@
             Calls of this node that it was taken to run, this one included.
         """
         self.foreign = max(self.foreign, self.count - running + 1)
-        self.foreign_told = now
-        self.full_until = now + RESET_PAUSE
-        self.closed_until = now + CLOSED_SECONDS
+        self.foreign_at = now
+        self.paused_until = now + RESET_PAUSE
+        self.resetting_until = now + RESETTING_SECONDS
         if self.counts_answered is None:
             # The benefit of the doubt was one call too many.
             self.counts_answered = True
-            self.doubt = 0
+            self.uncertain_calls = 0
 
-    def learn_counting(self, load: Load, running: int) -> None:
+    def detect_counting(self, load: Load, running: int) -> None:
         """See whether the upstream counts the call that it answers.
 
         Only where nothing else runs there: the load is then this call or nothing.
@@ -217,6 +219,6 @@
     def restarted(self) -> None:
         """Note that the upstream started anew; what ran there is over."""
         self.foreign = 0
-        self.told = 0
-        self.full_until = self.closed_until = float("-inf")
+        self.reported = 0
+        self.paused_until = self.resetting_until = float("-inf")
         self.abandoned.clear()
--- a/sequoiaspoke/measure/costplayed.py
+++ b/sequoiaspoke/measure/costplayed.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.outcome import Answer
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar.logs import EventLog
 
 if TYPE_CHECKING:
@@ -41,9 +41,9 @@
     def cancel(self, key: Hashable) -> None:
         """Do nothing: every call has its answer."""
 
-    def news(self, route: str = "", rank: int = 0) -> News:  # noqa: ARG002
+    def news(self, route: str = "", rank: int = 0) -> LoadReport:  # noqa: ARG002
         """Return that there is no load."""
-        return News(1.0, 0.01, 0.0)
+        return LoadReport(1.0, 0.01, 0.0)
 
 
 class PlayedUpstream(asyncio.Protocol):
--- a/sequoiaspoke/measure/meshmodel.py
+++ b/sequoiaspoke/measure/meshmodel.py
@@ -1,6 +1,6 @@
 """Play a loaded service of the mesh on a virtual clock, with the mesh's own decisions.
 
-Entries choose by `Placing` and `Sample`, homes admit by `Admission` with its bound on
+Entries choose by `Balancer` and `Sampler`, homes admit by `Admission` with its bound on
 cold upstreams; only the upstreams' work, the callers and the clock are played. So what
 a zone that is evacuated or comes back cold costs callers is known in seconds.
 """
@@ -14,10 +14,10 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.mesh.admission import Admission, Arrival, Refused
+from sequoiaspoke.core.mesh.balancer import Balancer, LoadReport
 from sequoiaspoke.core.mesh.coldstart import BOUND_SECONDS
 from sequoiaspoke.core.mesh.model import Endpoint, Route
-from sequoiaspoke.core.mesh.placing import News, Placing
-from sequoiaspoke.core.mesh.sample import Sample
+from sequoiaspoke.core.mesh.sample import Sampler
 from sequoiaspoke.core.rules.weights import WeightedService
 
 if TYPE_CHECKING:
@@ -127,8 +127,8 @@
     """An entry, which knows of homes what their answers told."""
 
     def __init__(self, zone: str, rng: random.Random) -> None:
-        self.placing = Placing(zone)
-        self.sample = Sample(rng)
+        self.placing = Balancer(zone)
+        self.sample = Sampler(rng)
         self.zone = zone
 
 
@@ -139,18 +139,18 @@
         self.endpoint = endpoint
         self.speed = speed
         self.admission = Admission(endpoint.slots)
-        self.admission.cold_start.most = most
+        self.admission.cold_start.max_calls = most
         self.cold_until = float("-inf")
         self.evacuated = False
         self.sent: deque[float] = deque()
 
-    def news(self, now: float) -> News:
+    def news(self, now: float) -> LoadReport:
         """Return the home's word on its load."""
         durations = self.admission.durations
-        return News(
-            durations.strain(now),
+        return LoadReport(
+            durations.slowdown(now),
             durations.expected(ROUTE.name, now),
-            self.admission.wait_of_rank(0, now),
+            self.admission.wait_for_rank(0, now),
         )
 
 
@@ -214,7 +214,7 @@
         for home in self.of_zone(zone):
             home.evacuated = False
             home.cold_until = self.now + COLD_SECONDS
-            home.admission.cold_start.told(COLD_SECONDS, self.now)
+            home.admission.cold_start.record_cold_time(COLD_SECONDS, self.now)
 
     # A call.
 
@@ -295,11 +295,11 @@
 
     def answer(self, home: MeshHome, call: Call, work: float) -> None:
         """Bring an answer to its caller."""
-        home.admission.answered(None, self.now)
+        home.admission.record_answer(None, self.now)
         home.admission.finish(call.number, True, self.now)
         self.tell(home, call)
         start = home.endpoint.incarnation
-        call.entry.placing.answered(ROUTE.name, start, work, 0)
+        call.entry.placing.record_answer(ROUTE.name, start, work, 0)
         second = int(call.begun)
         self.result.served[second] += 1
         self.result.on_time[second] += self.now - call.begun <= OBJECTIVE
@@ -327,7 +327,7 @@
         """Tell an entry of a home's load with what came of its call."""
         start = home.endpoint.incarnation
         call.entry.placing.end(start)
-        call.entry.placing.load(start, ROUTE.name, home.news(self.now), self.now)
+        call.entry.placing.record_load(start, ROUTE.name, home.news(self.now), self.now)
 
 
 def play_mesh(name: str, seeds: int) -> list[MeshResult]:
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -8,20 +8,20 @@
 
 from sequoiaspoke.core.idempotency.rendezvous import rank
 from sequoiaspoke.core.mesh.admission import queue_rank
+from sequoiaspoke.core.mesh.balancer import Balancer
 from sequoiaspoke.core.mesh.outcome import Answer, Unknown
-from sequoiaspoke.core.mesh.placing import Placing
-from sequoiaspoke.core.mesh.repeats import RepeatBudgets
-from sequoiaspoke.core.mesh.sample import Sample
+from sequoiaspoke.core.mesh.retrybudget import RetryBudgets
+from sequoiaspoke.core.mesh.sample import Sampler
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.deadlines import Deadlines
 from sequoiaspoke.sidecar.homecall import HomeCall
 from sequoiaspoke.sidecar.race import TRY_ELSEWHERE, Attempt, Race
 
 if TYPE_CHECKING:
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
     from sequoiaspoke.core.mesh.outcome import Outcome
-    from sequoiaspoke.core.mesh.placing import News
-    from sequoiaspoke.core.mesh.repeats import RepeatLimits
+    from sequoiaspoke.core.mesh.retrybudget import RetryLimits
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.peers import Peers
@@ -45,7 +45,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        repeats: RepeatLimits,
+        repeats: RetryLimits,
         regions: dict[str, str],
         log: EventLog,
     ) -> None:
@@ -55,9 +55,9 @@
         self.regions = regions
         self.log = log
         self.deadlines = Deadlines()
-        self.placing = Placing(peers.identity.zone)
-        self.sample = Sample(peers.rng)
-        self.budgets = RepeatBudgets(repeats)
+        self.placing = Balancer(peers.identity.zone)
+        self.sample = Sampler(peers.rng)
+        self.budgets = RetryBudgets(repeats)
         self.reasons: Counter[str] = Counter()
         self.local_calls = 0
         peers.on_news = self.heard
@@ -150,7 +150,7 @@
         hedge = None
         if self.may_hedge(progress) and not race.decided.done():
             now = clock.now()
-            delay = self.placing.patience(progress.route.name, endpoint, now)
+            delay = self.placing.hedge_delay(progress.route.name, endpoint, now)
             hedge = self.deadlines.at(now + delay, partial(self.hedge, progress, race))
         try:
             return await race.decided
@@ -232,24 +232,24 @@
 
         self.home.submit(key, call, tell)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, news: News) -> None:
+    def ended(self, attempt: Attempt, outcome: Outcome, news: LoadReport) -> None:
         """Learn from what came of an attempt."""
         start, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
             self.home.suspicion.learn([outcome.crash])
         self.placing.end(start)
-        self.placing.load(start, attempt.progress.route.name, news, now)
+        self.placing.record_load(start, attempt.progress.route.name, news, now)
         self.measure(attempt.progress, start, outcome, now)
 
     def cancelled(self, attempt: Attempt) -> None:
         """Note that an attempt was called off."""
         self.placing.end(attempt.endpoint.incarnation)
 
-    def heard(self, host: str, news: News) -> None:
+    def heard(self, host: str, news: LoadReport) -> None:
         """Take a home's word that came without a call."""
         now = clock.now()
         for endpoint in self.state.directory.at_host(host):
-            self.placing.load(endpoint.incarnation, "", news, now)
+            self.placing.record_load(endpoint.incarnation, "", news, now)
 
     def measure(
         self, progress: Progress, start: Incarnation, outcome: Outcome, now: float
@@ -257,9 +257,11 @@
         """Learn from what came of an attempt."""
         if isinstance(outcome, Answer):
             if outcome.status in TRY_ELSEWHERE:
-                self.placing.failed(start, now)
+                self.placing.record_failure(start, now)
             else:
                 size = len(progress.request.body) + len(outcome.body)
-                self.placing.answered(progress.route.name, start, outcome.seconds, size)
-        elif isinstance(outcome, Unknown) or outcome.reached:
-            self.placing.failed(start, now)
+                self.placing.record_answer(
+                    progress.route.name, start, outcome.seconds, size
+                )
+        elif isinstance(outcome, Unknown) or outcome.from_upstream:
+            self.placing.record_failure(start, now)
--- a/sequoiaspoke/sidecar/coldwatch.py
+++ b/sequoiaspoke/sidecar/coldwatch.py
@@ -56,23 +56,27 @@
     def take_service(self, service: Service, limits: ColdLimits) -> None:
         """Take what the operators say of the service of the upstream."""
         self.service = service
-        self.state.most = limits.most(service.cold_rate)
+        self.state.max_calls = limits.max_calls(service.cold_rate)
 
     def take_entry(self, held: Held) -> None:
         """Take what the upstream's entry says, once for each report."""
         if held.revision != self.entry_revision:
             self.entry_revision = held.revision
-            self.state.published(held.cold_until)
+            self.state.record_published(held.cold_until)
 
     def doubt(self, now: float) -> None:
         """Take the upstream for cold until it tells whether it is."""
         seconds = self.service.cold_seconds if self.service else 0.0
-        self.state.doubt(now, seconds)
+        self.state.assume_cold(now, seconds)
         self.ask_if_due(now)
 
     def ask_if_due(self, now: float) -> None:
         """Ask an upstream that is in doubt; it may be warm and bear all calls."""
-        if self.held_back or self.asking is not None or not self.state.doubted(now):
+        if (
+            self.held_back
+            or self.asking is not None
+            or not self.state.assumed_cold(now)
+        ):
             return
         path = self.service.health_path if self.service else ""
         if path and now - self.asked >= ASK_PAUSE:
@@ -87,6 +91,6 @@
             self.asking = None
         if seconds is None:
             return
-        self.state.told(seconds, clock.now())
+        self.state.record_cold_time(seconds, clock.now())
         self.log.event("upstream-cold", seconds=f"{seconds:.2f}", source="health")
         self.on_told()
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -13,8 +13,8 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.admission import LEAST_WAIT, Turned
-from sequoiaspoke.core.mesh.durations import FIRST_GUESS
+from sequoiaspoke.core.mesh.admission import MIN_RETRY_AFTER, RefusalReason
+from sequoiaspoke.core.mesh.durations import INITIAL_ESTIMATE
 from sequoiaspoke.core.mesh.outcome import TIMED_OUT, Answer, NotRun, Unknown
 from sequoiaspoke.core.routing.split import Splitter
 from sequoiaspoke.sidecar import clock
@@ -30,7 +30,7 @@
 
     from sequoiaspoke.core.mesh.model import Endpoint, Route
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
-    from sequoiaspoke.core.mesh.repeats import RepeatLimits
+    from sequoiaspoke.core.mesh.retrybudget import RetryLimits
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.names import HeaderNames
@@ -67,7 +67,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        repeats: RepeatLimits,
+        repeats: RetryLimits,
         rng: Random,
         log: EventLog,
     ) -> None:
@@ -120,8 +120,8 @@
         )
         held = self.attempts.held_seconds(progress)
         if held:
-            return self.refuse(request, Turned.HELD_BACK, held, service)
-        self.attempts.budgets.of(service).first(arrived)
+            return self.refuse(request, RefusalReason.HELD_BACK, held, service)
+        self.attempts.budgets.of(service).record_first(arrived)
         try:
             answer = await self.in_time(progress)
         except TimeoutError:
@@ -187,7 +187,7 @@
         away. One that took a long call in its last seconds would cut it at its end, and
         the caller would not know whether it ran.
         """
-        usual = self.attempts.placing.mean.get(route.name, FIRST_GUESS)
+        usual = self.attempts.placing.mean_seconds.get(route.name, INITIAL_ESTIMATE)
         return now + LONGEST * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
@@ -212,11 +212,11 @@
     def again(self, progress: Progress, endpoint: Endpoint, outcome: Outcome) -> bool:
         """Return whether another endpoint is tried."""
         progress.tried.add(endpoint.incarnation)
-        fruitless = isinstance(outcome, NotRun) and not outcome.reached
+        fruitless = isinstance(outcome, NotRun) and not outcome.from_upstream
         if fruitless:
             progress.fruitless += 1
             decision = (
-                outcome.reason != Turned.HELD_BACK
+                outcome.reason != RefusalReason.HELD_BACK
                 and progress.fruitless <= FRUITLESS_MOST
             )
         else:
@@ -225,7 +225,7 @@
             decision = self.repeat_allowed(progress, outcome)
         if isinstance(outcome, NotRun):
             progress.retry_after = min(progress.retry_after, outcome.retry_after)
-            if outcome.reason == Turned.HELD_BACK:
+            if outcome.reason == RefusalReason.HELD_BACK:
                 # No other home lets it run sooner.
                 progress.retry_after = outcome.retry_after
         if not isinstance(outcome, Answer):
@@ -273,7 +273,7 @@
         if progress.may_have_run:
             return self.fail(progress, 502, reason)
         if isinstance(last, NotRun):
-            wait = max(progress.retry_after, LEAST_WAIT)
+            wait = max(progress.retry_after, MIN_RETRY_AFTER)
             return self.refuse(progress.request, last.reason, wait, progress.service)
         return self.refuse(progress.request, reason, COME_BACK, progress.service)
 
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -7,7 +7,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.admission import Admission, Arrival, Refused, Turned
+from sequoiaspoke.core.mesh.admission import Admission, Arrival, RefusalReason, Refused
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.leavers import Leavers
 from sequoiaspoke.core.mesh.ledger import Ledger
 from sequoiaspoke.core.mesh.outcome import (
@@ -17,8 +18,7 @@
     NotRun,
     Unknown,
 )
-from sequoiaspoke.core.mesh.placing import News
-from sequoiaspoke.core.mesh.slots import SETTLE_SECONDS
+from sequoiaspoke.core.mesh.slots import CANCEL_SECONDS
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.coldwatch import ColdWatch
 from sequoiaspoke.sidecar.crashwatch import CrashWatch, Sent
@@ -129,23 +129,23 @@
 
     def expect_earlier_calls(self) -> None:
         """Reckon with calls that a process before this one sent to the upstream."""
-        self.admission.upstream.heard = False
+        self.admission.upstream_slots.has_answered = False
         self.admission.cold_start.expect_earlier_calls(clock.STARTED)
         self.cold_watch.doubt(clock.STARTED)
 
     def unwanted(self, call: HomeCall) -> NotRun | None:
         """Return why no call may be taken now, whatever the load."""
         if self.leaving:
-            return NotRun(Turned.LEAVING, LEAVING_SECONDS)
+            return NotRun(RefusalReason.LEAVING, LEAVING_SECONDS)
         if self.evacuated:
-            self.counts[Turned.ZONE_EVACUATED] += 1
-            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_SECONDS)
+            self.counts[RefusalReason.ZONE_EVACUATED] += 1
+            return NotRun(RefusalReason.ZONE_EVACUATED, EVACUATED_SECONDS)
         if self.directory.left(call.incarnation):
-            return NotRun(Turned.INSTANCE_LEFT)
+            return NotRun(RefusalReason.INSTANCE_LEFT)
         held = self.held_seconds(call)
         if held:
-            self.counts[Turned.HELD_BACK] += 1
-            return NotRun(Turned.HELD_BACK, held)
+            self.counts[RefusalReason.HELD_BACK] += 1
+            return NotRun(RefusalReason.HELD_BACK, held)
         return None
 
     def suspected(self, call: HomeCall) -> bool:
@@ -165,7 +165,7 @@
             seconds = self.held_seconds(self.calls[arrival.ticket].call)
             if seconds:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.HELD_BACK, seconds))
+                self.give_up(Refused(arrival, RefusalReason.HELD_BACK, seconds))
         self.advance()
 
     def advance(self) -> None:
@@ -224,14 +224,14 @@
         now = clock.now()
         self.down_watch.take(outcome, now)
         if isinstance(outcome, Answer):
-            self.admission.answered(load, now)
-        elif isinstance(outcome, NotRun) and outcome.reached:
-            self.admission.refused_by_upstream(load, now)
+            self.admission.record_answer(load, now)
+        elif isinstance(outcome, NotRun) and outcome.from_upstream:
+            self.admission.record_refusal(load, now)
         elif outcome.reason in (UNREACHABLE, UPSTREAM_CRASHED):
             # It may be starting anew, and cold when it can be reached again.
             self.cold_watch.doubt(now)
         elif isinstance(outcome, Unknown) and outcome.reason == RESET_AT_ONCE:
-            self.admission.turned_away(now)
+            self.admission.record_reset(now)
 
     def free(self, key: Hashable, answered: bool) -> None:
         """Give the slot of a call to the next."""
@@ -241,7 +241,7 @@
     def abandon(self, key: Hashable) -> None:
         """Give the slot of a cancelled call to the next once it is free."""
         self.admission.abandon(key, clock.now())
-        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.advance)
+        asyncio.get_running_loop().call_later(CANCEL_SECONDS, self.advance)
 
     def finish(self, key: Hashable, outcome: Outcome) -> None:
         """Remember an outcome and tell it."""
@@ -284,7 +284,7 @@
             left=f"{refused.arrival.deadline - clock.now():.3f}",
         )
 
-    def news(self, route: str = "", rank: int = 0) -> News:
+    def news(self, route: str = "", rank: int = 0) -> LoadReport:
         """Return what entries are told of the upstream's load.
 
         Parameters
@@ -297,11 +297,11 @@
         now = clock.now()
         durations = self.admission.durations
         if not route:
-            return News(strain=durations.strain(now))
-        return News(
-            durations.strain(now),
+            return LoadReport(slowdown=durations.slowdown(now))
+        return LoadReport(
+            durations.slowdown(now),
             durations.expected(route, now),
-            self.admission.wait_of_rank(rank, now),
+            self.admission.wait_for_rank(rank, now),
         )
 
     def cancel(self, key: Hashable) -> None:
@@ -328,7 +328,7 @@
         if not self.admission.waiting:
             self.leavers.clear()
             return
-        for refused in self.admission.overdue(now):
+        for refused in self.admission.drop_overdue(now):
             self.give_up(refused)
         self.empty_queue_of_leaver(now)
         self.advance()
@@ -345,7 +345,9 @@
         for arrival in waiting:
             if self.calls[arrival.ticket].call.incarnation in gone:
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_SECONDS))
+                self.give_up(
+                    Refused(arrival, RefusalReason.INSTANCE_LEFT, LEAVING_SECONDS)
+                )
 
     def evacuate(self, evacuated: bool, ended_at: int) -> None:
         """Send nothing to the upstream while its zone is evacuated.
@@ -364,7 +366,9 @@
             # the upstream; refused now, it can still be served in another zone.
             for arrival in list(self.admission.queue.values()):
                 self.admission.cancel(arrival.ticket)
-                self.give_up(Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_SECONDS))
+                self.give_up(
+                    Refused(arrival, RefusalReason.ZONE_EVACUATED, EVACUATED_SECONDS)
+                )
         elif taken_back:
             # Maybe this node never heard that it was empty, for it was only a moment.
             self.cold_watch.doubt(now)
@@ -387,10 +391,10 @@
         held = self.directory.held.get(endpoint.instance)
         if held is not None:
             self.cold_watch.take_entry(held)
-        if endpoint.slots != self.admission.upstream.published:
+        if endpoint.slots != self.admission.upstream_slots.published:
             self.take_slots(endpoint.slots)
 
     def take_slots(self, slots: int) -> None:
         """Take the platform's word on how many calls the upstream runs at once."""
-        self.admission.upstream.published = slots
+        self.admission.upstream_slots.published = slots
         self.advance()
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -12,8 +12,8 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.outcome import NotRun, Unknown
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.pending import Pending
 from sequoiaspoke.sidecar.signs import SignWait
@@ -47,7 +47,7 @@
 REDIAL_FIRST, REDIAL_MOST = 0.1, 0.4
 
 
-def ignore_news(news: News) -> None:
+def ignore_news(news: LoadReport) -> None:
     """Do nothing; for links whose news nobody uses."""
 
 
@@ -89,8 +89,8 @@
         self.failing = False
         self.leaving = False
         self.incarnation: int | None = None
-        self.news = News()
-        self.on_news: Callable[[News], None] = ignore_news
+        self.news = LoadReport()
+        self.on_news: Callable[[LoadReport], None] = ignore_news
         self.heard = 0.0
         self.pinged = 0.0
         self.offset = 0.0
@@ -306,7 +306,7 @@
         self.outbox.append(frame)
         self.open()
 
-    def resolve(self, number: int, outcome: Outcome, news: News | None) -> None:
+    def resolve(self, number: int, outcome: Outcome, news: LoadReport | None) -> None:
         """Hand an outcome to the call that waits for it."""
         if news is not None:
             self.news = news
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -13,8 +13,8 @@
     from collections.abc import Callable
     from random import Random
 
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint
-    from sequoiaspoke.core.mesh.placing import News
     from sequoiaspoke.sidecar.frames import Dialer
     from sequoiaspoke.sidecar.gossip import Gossip
     from sequoiaspoke.sidecar.logs import EventLog
@@ -29,7 +29,7 @@
 ASKED, ASK_EVERY = 2, 0.5
 
 
-def ignore_host_news(host: str, news: News) -> None:
+def ignore_host_news(host: str, news: LoadReport) -> None:
     """Do nothing; until an entry wants the news."""
 
 
@@ -63,7 +63,7 @@
         self.log = log
         self.links: dict[str, LinkClient] = {}
         self.watched: set[LinkClient] = set()
-        self.on_news: Callable[[str, News], None] = ignore_host_news
+        self.on_news: Callable[[str, LoadReport], None] = ignore_host_news
         self.asked = float("-inf")
         self.followed: set[str] = set()
 
--- a/sequoiaspoke/sidecar/race.py
+++ b/sequoiaspoke/sidecar/race.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
-    from sequoiaspoke.core.mesh.placing import News
 
 # Statuses of an upstream after which a call that may run twice is tried elsewhere.
 TRY_ELSEWHERE = frozenset({500, 502, 503})
@@ -72,7 +72,7 @@
         progress: Progress,
         endpoint: Endpoint,
         race: Race,
-        on_end: Callable[[Attempt, Outcome, News], None],
+        on_end: Callable[[Attempt, Outcome, LoadReport], None],
         on_cancel: Callable[[Attempt], None],
     ) -> None:
         self.on_end = on_end
@@ -83,7 +83,7 @@
         self.over = False
         self.call_off: Callable[[], None] | None = None
 
-    def take(self, outcome: Outcome, news: News) -> None:
+    def take(self, outcome: Outcome, news: LoadReport) -> None:
         """Take what came of the attempt, and the home's word with it."""
         if self.over:
             return
--- a/sequoiaspoke/sidecar/settings.py
+++ b/sequoiaspoke/sidecar/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sequoiaspoke.core.mesh.coldstart import ColdLimits
-from sequoiaspoke.core.mesh.repeats import RepeatLimits
+from sequoiaspoke.core.mesh.retrybudget import RetryLimits
 from sequoiaspoke.sidecar.names import HeaderNames
 
 Address = tuple[str, int]
@@ -50,7 +50,7 @@
     drain: float = 5.0
     act_within: float = 2.0
     link_mbps: float = 0.0
-    repeats: RepeatLimits = field(default_factory=RepeatLimits)
+    repeats: RetryLimits = field(default_factory=RetryLimits)
     cold: ColdLimits = field(default_factory=ColdLimits)
     regions: dict[str, str] = field(default_factory=dict)
     names: HeaderNames = field(default_factory=HeaderNames)
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -10,7 +10,7 @@
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.evacuation import Evacuations
 from sequoiaspoke.core.mesh.knowledge import Knowledge
-from sequoiaspoke.core.mesh.model import Published
+from sequoiaspoke.core.mesh.model import PublishedEndpoint
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.changelog import log_endpoints, log_evacuations
@@ -118,7 +118,7 @@
         """Take every item of the store."""
         self.store_answered()
         now = clock.now()
-        endpoints: list[Published] = []
+        endpoints: list[PublishedEndpoint] = []
         unreadable: list[tuple[str, int]] = []
         for item in read.items:
             if self.decoder.kind(item.key) != ItemDecoder.ENDPOINT:
@@ -126,7 +126,7 @@
                 continue
             endpoint = self.items.endpoint(item)
             if endpoint is not None:
-                endpoints.append(Published(endpoint, item.revision))
+                endpoints.append(PublishedEndpoint(endpoint, item.revision))
             else:
                 unreadable.append((self.decoder.instance(item.key), item.revision))
         before = self.directory.serial
@@ -345,7 +345,7 @@
             as_of=self.as_of,
             whole=serial == 0,
             endpoints=tuple(
-                Published(
+                PublishedEndpoint(
                     replace(each.endpoint, cold_seconds=each.cold_left(now)),
                     each.revision,
                     each.readable,
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -141,9 +141,9 @@
         """Tell an answer from a refusal and from bytes that are not an answer."""
         self.told_load = read_load(find_header(answer.headers, self.names.load))
         if find_header(answer.headers, self.names.not_run):
-            return NotRun("upstream-refused", reached=True)
+            return NotRun("upstream-refused", from_upstream=True)
         if answer.status == 421:
-            return NotRun("instance-replaced", reached=True)
+            return NotRun("instance-replaced", from_upstream=True)
         success = 200 <= answer.status < 300
         if success and not find_header(answer.headers, self.names.stamp):
             return Unknown("answer-unstamped")
--- a/sequoiaspoke/sidecar/wirecalls.py
+++ b/sequoiaspoke/sidecar/wirecalls.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.model import Incarnation
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request, Unknown
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.crashwire import pack_crash, unpack_crash
 from sequoiaspoke.sidecar.homecall import HomeCall
@@ -60,7 +60,7 @@
     )
 
 
-def pack_outcome(number: int, outcome: Outcome, news: News) -> wire.Frame:
+def pack_outcome(number: int, outcome: Outcome, news: LoadReport) -> wire.Frame:
     """Return the frame for what came of a call, with the home's word on its load."""
     if isinstance(outcome, Answer):
         answer = wire.Answer(
@@ -77,7 +77,7 @@
             number,
             outcome.reason,
             outcome.retry_after,
-            outcome.reached,
+            outcome.from_upstream,
             pack_news(news),
         )
         return wire.Frame(not_run=refusal)
@@ -87,7 +87,7 @@
     return wire.Frame(unknown=unknown)
 
 
-def unpack_outcome(frame: wire.Frame) -> tuple[int, Outcome, News | None] | None:
+def unpack_outcome(frame: wire.Frame) -> tuple[int, Outcome, LoadReport | None] | None:
     """Return the number of a call, what came of it and the home's word, if any.
 
     None if the frame tells of no outcome.
@@ -111,14 +111,14 @@
     return None
 
 
-def pack_news(news: News) -> wire.News:
+def pack_news(news: LoadReport) -> wire.News:
     """Return the message for a home's word on its load."""
-    return wire.News(news.strain, news.expected, news.wait)
+    return wire.News(news.slowdown, news.expected, news.wait)
 
 
-def unpack_news(message: wire.News) -> News:
+def unpack_news(message: wire.News) -> LoadReport:
     """Return a home's word on its load from its message."""
-    return News(message.strain, message.expected, message.wait)
+    return LoadReport(message.strain, message.expected, message.wait)
 
 
 def flatten(headers: Headers) -> list[str]:
--- a/sequoiaspoke/sidecar/wireknowledge.py
+++ b/sequoiaspoke/sidecar/wireknowledge.py
@@ -14,7 +14,7 @@
     CallerLimits,
     Departure,
     Endpoint,
-    Published,
+    PublishedEndpoint,
     Route,
     Service,
 )
@@ -68,7 +68,7 @@
     )
 
 
-def pack_endpoint(published: Published) -> wire.Endpoint:
+def pack_endpoint(published: PublishedEndpoint) -> wire.Endpoint:
     """Return the message for an endpoint."""
     endpoint = published.endpoint
     return wire.Endpoint(
@@ -86,7 +86,7 @@
     )
 
 
-def unpack_endpoint(message: wire.Endpoint) -> Published:
+def unpack_endpoint(message: wire.Endpoint) -> PublishedEndpoint:
     """Return an endpoint from its message."""
     endpoint = Endpoint(
         message.instance,
@@ -99,7 +99,7 @@
         message.cold_seconds,
         message.born,
     )
-    return Published(endpoint, message.revision, message.readable)
+    return PublishedEndpoint(endpoint, message.revision, message.readable)
 
 
 def pack_departure(departure: Departure) -> wire.Gone:
--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -66,7 +66,7 @@
             return NotRun(UNREACHABLE)
         on_send()
         if instance != self.instance:
-            return NotRun("instance-replaced", reached=True)
+            return NotRun("instance-replaced", from_upstream=True)
         self.world.note_run(request, self)
         ended = asyncio.get_running_loop().create_future()
         self.running[ended] = None
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -15,7 +15,7 @@
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request, Unknown
 from sequoiaspoke.core.mesh.reading import ReadingDuty
-from sequoiaspoke.core.mesh.repeats import RepeatLimits
+from sequoiaspoke.core.mesh.retrybudget import RetryLimits
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
@@ -168,7 +168,7 @@
         call_id = request.header("x-request-id")
         world.arrivals[call_id].append((self.instance, world.now()))
         if rng.random() < self.shedding:
-            return NotRun("upstream-refused", 0.1, reached=True)
+            return NotRun("upstream-refused", 0.1, from_upstream=True)
         world.ran(call_id, self.instance)
         try:
             await asyncio.sleep(self.slow * rng.uniform(0.05, 0.3))
@@ -229,7 +229,7 @@
         identity = LinkIdentity(self.host, self.zone, self.incarnation)
         dialer = SimDialer(world, self.host)
         self.peers = Peers(identity, 1, self.state, spread, rng, log, dialer)
-        limits = RepeatLimits(RATIO, SLACK, WINDOW)
+        limits = RetryLimits(RATIO, SLACK, WINDOW)
         self.entry = Entry(
             SERVICE, world.regions, HeaderNames(), self.state, self.home, self.peers,
             limits, rng, log,
--- a/sequoiaspoke/tests/test_mesh_coldstart.py
+++ b/sequoiaspoke/tests/test_mesh_coldstart.py
@@ -37,18 +37,18 @@
 class LimitsTests(TestCase):
     def test_the_bound(self):
         # One call is left for the health checks.
-        self.assertEqual(LIMITS.most(SERVICE.cold_rate), MOST - 1)
+        self.assertEqual(LIMITS.max_calls(SERVICE.cold_rate), MOST - 1)
 
     def test_no_bound_without_a_rate(self):
-        self.assertIsNone(LIMITS.most(0.0))
+        self.assertIsNone(LIMITS.max_calls(0.0))
 
 
 class ColdStartTests(TestCase):
     def setUp(self):
         super().setUp()
         self.cold = ColdStart()
-        self.cold.most = MOST - 1
-        self.cold.told(3.0, 0.0)
+        self.cold.max_calls = MOST - 1
+        self.cold.record_cold_time(3.0, 0.0)
 
     def hand_over(self, now, count):
         for _ in range(count):
@@ -59,18 +59,18 @@
     def test_room_comes_back_with_the_calls_of_the_window(self):
         self.hand_over(0.0, 4)
         self.hand_over(0.5, 3)
-        self.assertEqual(self.cold.room(0.6), 0)
-        self.assertEqual(self.cold.room(WINDOW), 4)
-        self.assertEqual(self.cold.room(0.5 + WINDOW), 7)
+        self.assertEqual(self.cold.remaining(0.6), 0)
+        self.assertEqual(self.cold.remaining(WINDOW), 4)
+        self.assertEqual(self.cold.remaining(0.5 + WINDOW), 7)
 
     def test_calls_from_before_it_turned_cold_count(self):
         # An upstream turns cold while it is busy; the second in which it does is
         # one second like any other.
-        self.cold.told(0.0, 0.0)
+        self.cold.record_cold_time(0.0, 0.0)
         self.hand_over(0.1, 20)
-        self.assertIsNone(self.cold.room(0.2))
-        self.cold.told(3.0, 0.3)
-        self.assertEqual(self.cold.room(0.4), 0)
+        self.assertIsNone(self.cold.remaining(0.2))
+        self.cold.record_cold_time(3.0, 0.3)
+        self.assertEqual(self.cold.remaining(0.4), 0)
 
     def test_the_wait_that_entries_are_told(self):
         self.hand_over(0.0, 7)
@@ -80,22 +80,22 @@
         self.assertAlmostEqual(self.cold.wait(70, 0.1), 2.9)
 
     def test_doubt_ends_with_its_word_or_by_itself(self):
-        self.cold.told(0.0, 0.0)
-        self.cold.doubt(1.0, 3.0)
-        self.assertTrue(self.cold.doubted(2.0))
-        self.assertEqual(self.cold.room(2.0), MOST - 1)
-        self.cold.told(0.0, 2.0)
-        self.assertIsNone(self.cold.room(2.0))
-        self.cold.doubt(3.0, 3.0)
-        self.assertIsNone(self.cold.room(6.1))
+        self.cold.record_cold_time(0.0, 0.0)
+        self.cold.assume_cold(1.0, 3.0)
+        self.assertTrue(self.cold.assumed_cold(2.0))
+        self.assertEqual(self.cold.remaining(2.0), MOST - 1)
+        self.cold.record_cold_time(0.0, 2.0)
+        self.assertIsNone(self.cold.remaining(2.0))
+        self.cold.assume_cold(3.0, 3.0)
+        self.assertIsNone(self.cold.remaining(6.1))
 
     def test_a_new_process_waits_until_the_calls_of_the_last_one_count_no_more(self):
         # A node is killed and starts again beside a cold upstream. Both processes
         # together would send it twice the bound within a second, and it would crash.
         self.cold.expect_earlier_calls(0.0)
-        self.assertEqual(self.cold.room(0.9), 0)
+        self.assertEqual(self.cold.remaining(0.9), 0)
         self.assertAlmostEqual(self.cold.wait(0, 0.4), WINDOW - 0.4)
-        self.assertEqual(self.cold.room(WINDOW + 0.01), MOST - 1)
+        self.assertEqual(self.cold.remaining(WINDOW + 0.01), MOST - 1)
 
 
 class ColdAdmissionTests(TestCase):
@@ -106,8 +106,8 @@
         """
         rng = random.Random(seed)
         admission = Admission(9)
-        admission.cold_start.most = most
-        admission.cold_start.told(9.0, 0.0)
+        admission.cold_start.max_calls = most
+        admission.cold_start.record_cold_time(9.0, 0.0)
         now, handed, refused, ends = 0.0, [], 0, []
         for number in range(int(rate * 3)):
             now += rng.expovariate(rate)
@@ -146,12 +146,12 @@
 
     def test_entries_are_told_of_the_wait(self):
         admission = Admission(9)
-        admission.cold_start.most = MOST - 1
-        admission.cold_start.told(3.0, 0.0)
+        admission.cold_start.max_calls = MOST - 1
+        admission.cold_start.record_cold_time(3.0, 0.0)
         for number in range(MOST - 1):
             admission.cold_start.begin(number)
             admission.cold_start.send(number, 0.0)
-        self.assertAlmostEqual(admission.wait_of_rank(0, 0.1), WINDOW - 0.1)
+        self.assertAlmostEqual(admission.wait_for_rank(0, 0.1), WINDOW - 0.1)
 
 
 class TellingUpstream:
--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -9,24 +9,24 @@
     QUEUE_PER_SLOT,
     Admission,
     Arrival,
-    Turned,
+    RefusalReason,
     queue_rank,
 )
+from sequoiaspoke.core.mesh.balancer import Balancer, LoadReport
 from sequoiaspoke.core.mesh.directory import Directory
-from sequoiaspoke.core.mesh.durations import FORGET_SECONDS, Durations
+from sequoiaspoke.core.mesh.durations import STALE_SECONDS, Durations
 from sequoiaspoke.core.mesh.lapses import LAPSE_GRACE
-from sequoiaspoke.core.mesh.ledger import KEPT_BYTES, KEPT_SECONDS, Ledger
+from sequoiaspoke.core.mesh.ledger import MAX_ANSWER_BYTES, RETENTION_SECONDS, Ledger
 from sequoiaspoke.core.mesh.model import (
     Endpoint,
     Incarnation,
     MeshConfig,
-    Published,
+    PublishedEndpoint,
     Route,
     Service,
 )
-from sequoiaspoke.core.mesh.placing import News, Placing
-from sequoiaspoke.core.mesh.repeats import RepeatBudget, RepeatLimits
-from sequoiaspoke.core.mesh.slots import FOREIGN_SECONDS, Load
+from sequoiaspoke.core.mesh.retrybudget import RetryBudget, RetryLimits
+from sequoiaspoke.core.mesh.slots import FOREIGN_HALF_LIFE, Load
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.core.routing.split import Splitter
 from sequoiaspoke.core.rules.weights import WeightedService
@@ -110,15 +110,17 @@
 
     def test_another_nodes_healthy_view_removes_at_once(self):
         self.directory.lapses.lost_store()
-        self.directory.reconcile([Published(endpoint("1"), 5)], 9, 1.0, trusted=True)
+        self.directory.reconcile(
+            [PublishedEndpoint(endpoint("1"), 5)], 9, 1.0, trusted=True
+        )
         self.assertEqual(self.serving(), {"1"})
 
 
-class RepeatBudgetTests(TestCase):
+class RetryBudgetTests(TestCase):
     def test_all_nodes_together_stay_within_the_allowance(self):
         # A service that fails every call makes each node repeat all it may.
-        limits = RepeatLimits(ratio=0.2, slack=56, window=10)
-        nodes = [RepeatBudget(limits) for _ in range(12)]
+        limits = RetryLimits(ratio=0.2, slack=56, window=10)
+        nodes = [RetryBudget(limits) for _ in range(12)]
         rng = random.Random(1)
         sent = firsts = 0
         for step in range(2000):
@@ -129,17 +131,17 @@
         self.assertTrue(0 < sent <= 0.2 * firsts + 56)
 
     def test_room_returns_when_the_window_has_passed(self):
-        budget = RepeatBudget(RepeatLimits(ratio=0, slack=10, window=10))
+        budget = RetryBudget(RetryLimits(ratio=0, slack=10, window=10))
         while budget.spend(1, 0.0):
             pass
         self.assertFalse(budget.spend(1, 9.0))
         self.assertTrue(budget.spend(1, 10.1))
 
 
-class PlacingTests(TestCase):
+class BalancerTests(TestCase):
     def setUp(self):
         super().setUp()
-        self.placing = Placing("akaki")
+        self.placing = Balancer("akaki")
         self.near, self.far = endpoint("1"), endpoint("2", zone="bole")
         self.route = route()
 
@@ -150,7 +152,7 @@
         return chosen.instance
 
     def tell(self, instance, now=1.0, **news):
-        self.placing.load(Incarnation(instance), "a", News(**news), now)
+        self.placing.record_load(Incarnation(instance), "a", LoadReport(**news), now)
 
     def test_the_own_zone_is_preferred_while_it_answers_in_time(self):
         self.tell("1", expected=0.2)
@@ -167,9 +169,9 @@
         # sending away for a few answers more on time; a short call is.
         self.tell("1", expected=0.36)
         self.tell("2", expected=0.2)
-        self.placing.answered("a", Incarnation("1"), 0.3, 500)
+        self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
         self.assertEqual(self.choose(), "2")
-        self.placing.size["a"] = 6000
+        self.placing.mean_bytes["a"] = 6000
         self.assertEqual(self.choose(), "1")
 
     def test_an_upstream_that_has_joined_gets_a_first_call(self):
@@ -178,7 +180,7 @@
         joined = endpoint("3")
         self.tell("1", expected=0.1)
         self.tell("2", expected=0.1)
-        self.placing.answered("a", Incarnation("1"), 0.3, 500)
+        self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
         ends = (self.near, self.far, joined)
         chosen = self.placing.choose(self.route, ends, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "3")
@@ -189,7 +191,7 @@
     def test_calls_that_last_too_long_tell_of_a_slow_upstream(self):
         # An upstream turns twelve times slower. None of its calls has been answered
         # yet, so nothing was measured; those that go on being sent there all fail.
-        self.tell("1", expected=0.2, strain=4.0)
+        self.tell("1", expected=0.2, slowdown=4.0)
         self.tell("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=9.0), "1")
@@ -200,7 +202,7 @@
         self.tell("1", expected=0.2)
         self.tell("2", expected=0.25)
         for _ in range(4):
-            self.placing.failed(Incarnation("1"), 1.0)
+            self.placing.record_failure(Incarnation("1"), 1.0)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=12.0), "1")
 
@@ -226,15 +228,15 @@
         durations.begin(1, "a", 0.0)
         durations.end(1, True, 3.0)
         self.assertEqual(durations.expected("a", 3.0), 3.0)
-        self.assertTrue(durations.expected("a", 3.0 + 4 * FORGET_SECONDS) < 0.5)
+        self.assertTrue(durations.expected("a", 3.0 + 4 * STALE_SECONDS) < 0.5)
 
     def test_strain_shows_before_the_first_late_answer(self):
         durations = Durations()
         durations.begin(1, "a", 0.0)
         durations.end(1, True, 0.2)
         durations.begin(2, "a", 1.0)
-        self.assertEqual(durations.strain(1.1), 1.0)
-        self.assertTrue(durations.strain(1.8) > 3)
+        self.assertEqual(durations.slowdown(1.1), 1.0)
+        self.assertTrue(durations.slowdown(1.8) > 3)
 
 
 class AdmissionTests(TestCase):
@@ -271,13 +273,13 @@
         for _ in range(4):
             self.arrive()
         self.run_next()
-        self.admission.answered(Load(4, 0), 0.0)
+        self.admission.record_answer(Load(4, 0), 0.0)
         self.assertEqual([self.run_next(), self.run_next()], [2, None])
-        self.assertEqual(self.run_next(FOREIGN_SECONDS), 3)
+        self.assertEqual(self.run_next(FOREIGN_HALF_LIFE), 3)
 
     def test_one_call_tells_whether_a_full_upstream_has_room_again(self):
         self.arrive()
-        self.admission.answered(Load(9, 0), 0.0)
+        self.admission.record_answer(Load(9, 0), 0.0)
         self.assertEqual(self.run_next(), 1)
 
     def test_the_urgent_go_first(self):
@@ -291,7 +293,7 @@
             self.arrive(on_time=99, deadline=99)
         self.run_next()
         refused = self.arrive(deadline=1.5)
-        self.assertEqual(refused.reason, Turned.NO_TIME)
+        self.assertEqual(refused.reason, RefusalReason.NO_TIME)
         self.assertTrue(refused.retry_after > 1.0)
 
     def test_under_overload_calls_that_can_be_on_time_go_first(self):
@@ -380,8 +382,8 @@
             self.arrive(deadline=1.0)
         self.run_next()
         self.run_next()
-        self.assertEqual(self.admission.overdue(0.7), [])
-        (refused,) = self.admission.overdue(0.85)
+        self.assertEqual(self.admission.drop_overdue(0.7), [])
+        (refused,) = self.admission.drop_overdue(0.85)
         self.assertEqual(refused.arrival.ticket, 3)
         self.assertEqual(self.admission.waiting, 0)
 
@@ -391,9 +393,9 @@
         ledger = Ledger()
         ledger.begin("k")
         ledger.finish("k", "answer", 10, 1.0)
-        ledger.expire(1.0 + KEPT_SECONDS - 1)
+        ledger.expire(1.0 + RETENTION_SECONDS - 1)
         self.assertEqual(ledger.find("k").outcome, "answer")
-        ledger.expire(1.0 + KEPT_SECONDS)
+        ledger.expire(1.0 + RETENTION_SECONDS)
         self.assertIsNone(ledger.find("k"))
 
     def test_large_answers_are_dropped_but_not_that_they_were_given(self):
@@ -402,7 +404,7 @@
         ledger = Ledger()
         for number in range(4):
             ledger.begin(number)
-            ledger.finish(number, "answer", KEPT_BYTES // 2, 1.0)
+            ledger.finish(number, "answer", MAX_ANSWER_BYTES // 2, 1.0)
         self.assertIsNone(ledger.find(0).outcome)
         self.assertEqual(ledger.find(3).outcome, "answer")
-        self.assertTrue(ledger.bytes <= KEPT_BYTES)
+        self.assertTrue(ledger.bytes <= MAX_ANSWER_BYTES)
--- a/sequoiaspoke/tests/test_mesh_crashing.py
+++ b/sequoiaspoke/tests/test_mesh_crashing.py
@@ -234,8 +234,8 @@
         self.caught(self.repeated, f"{CRASH}: ran")
 
     def test_suspects_run_apart(self):
-        self.patch(Admission, "may_run_beside", lambda self, arrival: True)
-        self.patch(Admission, "wait_apart", lambda self, arrival, now: 0.0)
+        self.patch(Admission, "may_run_now", lambda self, arrival: True)
+        self.patch(Admission, "suspect_wait", lambda self, arrival, now: 0.0)
 
         async def scenario(world):
             crashing = [world.repeat(f"{CRASH}{n}", 12.0, 0.1) for n in range(4)]
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -9,7 +9,7 @@
 from sequoiaspoke.core.mesh.evacuation import MOST_ZONES, Evacuation, Evacuations
 from sequoiaspoke.core.mesh.model import Endpoint
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request
-from sequoiaspoke.core.mesh.sample import Sample
+from sequoiaspoke.core.mesh.sample import Sampler
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.home import Home
 from sequoiaspoke.sidecar.homecall import HomeCall
@@ -112,7 +112,7 @@
         # With the own zone empty one endpoint alone was drawn. That is a choice by
         # chance: calls wait at slow upstreams beside others that stand idle.
         others = [self.endpoint("bole", number) for number in range(20)]
-        sample = Sample(random.Random(3))
+        sample = Sampler(random.Random(3))
         self.assertEqual(len(sample.candidates(others, (), lambda _: True)), 3)
 
 
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -5,17 +5,17 @@
 
 from testtools import TestCase
 
+from sequoiaspoke.core.mesh.balancer import Balancer, LoadReport
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.knowledge import Knowledge
 from sequoiaspoke.core.mesh.model import (
     Departure,
     Endpoint,
     Incarnation,
-    Published,
+    PublishedEndpoint,
     Route,
 )
 from sequoiaspoke.core.mesh.outcome import Answer, Request, Unknown
-from sequoiaspoke.core.mesh.placing import News, Placing
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.home import Home
@@ -61,7 +61,7 @@
         for stale in (OLD, replace(OLD, draining=True)):
             self.assertFalse(self.directory.put(stale, 20, 1.0))
             self.assertFalse(self.directory.put(stale, 21, 1.0, told=True))
-        self.directory.reconcile([Published(OLD, 22)], 30, 1.0, trusted=True)
+        self.directory.reconcile([PublishedEndpoint(OLD, 22)], 30, 1.0, trusted=True)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
     def test_a_node_that_lags_or_wakes_late_takes_nothing_back(self):
@@ -160,7 +160,7 @@
     def test_in_a_whole_list_it_has_not_left(self):
         # The store is read anew. Taken for gone, the upstream's home would refuse the
         # calls that are under way to it.
-        listed = [Published(OTHER, 6)]
+        listed = [PublishedEndpoint(OTHER, 6)]
         self.directory.reconcile(listed, 9, 1.0, unreadable=[("i-1", 7)])
         self.assertEqual(self.serving(), {"i-2"})
         self.assertFalse(self.directory.left(OLD.incarnation))
@@ -188,7 +188,10 @@
             revision=9,
             as_of=40.0,
             whole=False,
-            endpoints=(Published(NEW, 8), Published(OTHER, 6, readable=False)),
+            endpoints=(
+                PublishedEndpoint(NEW, 8),
+                PublishedEndpoint(OTHER, 6, readable=False),
+            ),
             gone=(Departure("i-3", FIRST, 7, True),),
             lapsing=(Departure("i-4", LATER, 8),),
             config=None,
@@ -200,13 +203,15 @@
     def test_what_was_learnt_of_the_start_before_is_not_held_against_it(self):
         # An upstream failed every call and was started again. Avoided for what the
         # start before did, it would stay idle while others are late.
-        placing = Placing("akaki")
+        placing = Balancer("akaki")
         split = (WeightedService("fleet"),)
         route = Route("a", "x", "/a/", True, 2.0, 0.6, 1, 2, split)
-        placing.load(OTHER.incarnation, "a", News(expected=0.1), 1.0)
-        placing.load(OLD.incarnation, "a", News(expected=0.1, strain=9.0), 1.0)
+        placing.record_load(OTHER.incarnation, "a", LoadReport(expected=0.1), 1.0)
+        placing.record_load(
+            OLD.incarnation, "a", LoadReport(expected=0.1, slowdown=9.0), 1.0
+        )
         for _ in range(4):
-            placing.failed(OLD.incarnation, 1.0)
+            placing.record_failure(OLD.incarnation, 1.0)
 
         def choose(first):
             ends = (first, OTHER)
@@ -215,7 +220,7 @@
         self.assertEqual(choose(OLD), OTHER.incarnation)
         self.assertEqual(choose(NEW), NEW.incarnation)
         placing.retain([NEW.incarnation, OTHER.incarnation])
-        self.assertEqual(set(placing.seen), {NEW.incarnation, OTHER.incarnation})
+        self.assertEqual(set(placing.stats), {NEW.incarnation, OTHER.incarnation})
 
 
 class RestartingUpstream:
--- a/sequoiaspoke/tests/test_mesh_property.py
+++ b/sequoiaspoke/tests/test_mesh_property.py
@@ -11,7 +11,7 @@
 
 from sequoiaspoke.core.mesh.ledger import Ledger
 from sequoiaspoke.core.mesh.outcome import NotRun, Unknown
-from sequoiaspoke.core.mesh.repeats import RepeatBudget
+from sequoiaspoke.core.mesh.retrybudget import RetryBudget
 from sequoiaspoke.sidecar.entry import Entry
 from sequoiaspoke.sidecar.linkclient import LinkClient
 from sequoiaspoke.sidecar.pending import Pending
@@ -88,7 +88,7 @@
         self.caught("ran 2 times")
 
     def test_the_budget_holds_repeats(self):
-        self.patch(RepeatBudget, "spend", lambda self, nodes, now: True)
+        self.patch(RetryBudget, "spend", lambda self, nodes, now: True)
         self.caught("repeats for")
 
     def test_final_answers_come_in_time(self):
--- a/sequoiaspoke/tests/test_mesh_quarantine.py
+++ b/sequoiaspoke/tests/test_mesh_quarantine.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh import crashes
-from sequoiaspoke.core.mesh.admission import Admission, Arrival, Turned
+from sequoiaspoke.core.mesh.admission import Admission, Arrival, RefusalReason
 from sequoiaspoke.core.mesh.crashes import (
     KEPT_PROVEN_SECONDS,
     KEPT_SECONDS,
@@ -184,4 +184,4 @@
             self.arrive(admission, str(number), NOW + 1.0) for number in range(50)
         ]
         reasons = {each.reason for each in refused if each is not None}
-        self.assertEqual(reasons, {Turned.NO_TIME})
+        self.assertEqual(reasons, {RefusalReason.NO_TIME})
--- a/sequoiaspoke/tests/test_mesh_sample.py
+++ b/sequoiaspoke/tests/test_mesh_sample.py
@@ -6,9 +6,14 @@
 
 from testtools import TestCase
 
+from sequoiaspoke.core.mesh.balancer import Balancer, LoadReport
 from sequoiaspoke.core.mesh.model import Endpoint, Route
-from sequoiaspoke.core.mesh.placing import News, Placing
-from sequoiaspoke.core.mesh.sample import ANYWHERE, COMPARED_WHOLE, NEAR, Sample
+from sequoiaspoke.core.mesh.sample import (
+    ANY_ZONE_DRAWS,
+    FULL_COMPARISON_LIMIT,
+    SAME_ZONE_DRAWS,
+    Sampler,
+)
 from sequoiaspoke.core.rules.weights import WeightedService
 
 ROUTE = Route("r", "x", "/r/", True, 4.0, 0.7, 1, 2, (WeightedService("s"),))
@@ -33,25 +38,27 @@
 class SampleTests(TestCase):
     def setUp(self):
         super().setUp()
-        self.sample = Sample(random.Random(1))
+        self.sample = Sampler(random.Random(1))
         self.all = endpoints(70)
         self.near = [each for each in self.all if each.zone == "z0"]
 
     def test_a_small_service_is_compared_whole(self):
-        few = self.all[:COMPARED_WHOLE]
+        few = self.all[:FULL_COMPARISON_LIMIT]
         self.assertEqual(self.sample.candidates(few, few[:2], anything), few)
 
     def test_of_a_large_one_a_few_are_drawn_most_of_them_near(self):
         found = self.sample.candidates(self.all, self.near, anything)
-        self.assertTrue(NEAR <= len(found) <= NEAR + ANYWHERE)
-        self.assertTrue(sum(each.zone == "z0" for each in found) >= NEAR)
+        self.assertTrue(
+            SAME_ZONE_DRAWS <= len(found) <= SAME_ZONE_DRAWS + ANY_ZONE_DRAWS
+        )
+        self.assertTrue(sum(each.zone == "z0" for each in found) >= SAME_ZONE_DRAWS)
 
     def test_none_is_drawn_that_is_closed_to_the_call(self):
-        is_open = self.near[3:].__contains__
+        is_eligible = self.near[3:].__contains__
         for _ in range(200):
-            found = self.sample.candidates(self.all, self.near, is_open)
+            found = self.sample.candidates(self.all, self.near, is_eligible)
             self.assertTrue(found)
-            self.assertTrue(all(map(is_open, found)))
+            self.assertTrue(all(map(is_eligible, found)))
 
     def test_the_only_endpoint_that_is_open_is_found(self):
         # All VMs of a service but one cannot be reached. A caller refused as the draw
@@ -77,8 +84,8 @@
         self.rng = random.Random(5)
         self.endpoints = endpoints(homes, zones=1)
         self.speed = {e.instance: SPEEDS[n % 3] for n, e in enumerate(self.endpoints)}
-        self.entries = [Placing("z0") for _ in range(entries)]
-        self.sample = Sample(random.Random(6))
+        self.entries = [Balancer("z0") for _ in range(entries)]
+        self.sample = Sampler(random.Random(6))
         self.whole = whole
         self.free = {e.instance: [0.0] * SLOTS for e in self.endpoints}
         able = sum(SLOTS / each for each in self.speed.values())
@@ -117,9 +124,9 @@
         start = chosen.incarnation
         entry.end(start)
         wait = max(0.0, min(self.free[chosen.instance]) - now)
-        news = News(1.0, self.speed[chosen.instance], wait)
-        entry.load(start, ROUTE.name, news, now)
-        entry.answered(ROUTE.name, start, work, 500)
+        news = LoadReport(1.0, self.speed[chosen.instance], wait)
+        entry.record_load(start, ROUTE.name, news, now)
+        entry.record_answer(ROUTE.name, start, work, 500)
 
 
 class LargeServiceTests(TestCase):
--- a/sequoiaspoke/tests/test_mesh_slots.py
+++ b/sequoiaspoke/tests/test_mesh_slots.py
@@ -11,10 +11,10 @@
 
 from sequoiaspoke.core.mesh.admission import Admission, Arrival
 from sequoiaspoke.core.mesh.slots import (
-    CLOSED_SECONDS,
-    FOREIGN_SECONDS,
+    CANCEL_SECONDS,
+    FOREIGN_HALF_LIFE,
     READS_FIRST_SECONDS,
-    SETTLE_SECONDS,
+    RESETTING_SECONDS,
     Load,
     Slots,
 )
@@ -74,7 +74,7 @@
 
     def start(self):
         self.admission = Admission(self.upstream.slots)
-        self.admission.upstream.heard = self.careless
+        self.admission.upstream_slots.has_answered = self.careless
         self.epoch = self.count
 
     def at(self, when, what, *arguments):
@@ -119,7 +119,7 @@
     def lost(self, now, ticket, epoch):
         if epoch == self.epoch:
             if not self.careless:
-                self.admission.turned_away(now)
+                self.admission.record_reset(now)
             self.admission.finish(ticket, False, now)
             self.advance(now)
             self.at(now + TICK_SECONDS, self.advance)
@@ -127,7 +127,7 @@
     def answered(self, now, ticket, epoch):
         if epoch != self.epoch or ticket not in self.admission.durations.running:
             return
-        self.admission.answered(self.upstream.load(now), now)
+        self.admission.record_answer(self.upstream.load(now), now)
         self.admission.finish(ticket, True, now)
         self.advance(now)
 
@@ -136,7 +136,7 @@
             return
         self.upstream.drop((ticket, True), now)
         self.admission.abandon(ticket, now)
-        self.at(now + SETTLE_SECONDS, self.advance)
+        self.at(now + CANCEL_SECONDS, self.advance)
 
     def kill(self, now):
         """End the node and start it again a moment later beside the same upstream."""
@@ -183,7 +183,7 @@
 
     def shrink(self, play, slots):
         """Let the upstream tell fewer slots; what runs there ends first."""
-        play.admission.upstream.published = slots
+        play.admission.upstream_slots.published = slots
         play.at(1.5, lambda now: setattr(play.upstream, "slots", slots))
 
 
@@ -191,7 +191,7 @@
     def test_after_a_start_an_order_lets_a_read_go_first_for_a_moment(self):
         # Beside a full upstream the first call may be reset: a read goes elsewhere.
         slots = Slots(6)
-        slots.heard = False
+        slots.has_answered = False
         self.assertFalse(slots.admits(False, 0, 1.0))
         self.assertTrue(slots.admits(True, 0, 1.0))
         self.assertTrue(slots.admits(False, 0, 1.0 + READS_FIRST_SECONDS))
@@ -199,28 +199,28 @@
     def test_the_first_answer_tells_whether_orders_may_go(self):
         for load, admitted in ((1, True), (6, False)):
             slots = Slots(6)
-            slots.heard = False
-            slots.answered(Load(load, 0, 6), 1, 1.0)
+            slots.has_answered = False
+            slots.record_answer(Load(load, 0, 6), 1, 1.0)
             self.assertEqual(slots.admits(False, 1, 1.0), admitted)
 
     def test_a_refusal_tells_nothing_of_how_the_upstream_counts(self):
         # An upstream that sheds part of its calls does not count the one it refuses.
         # Taken for its way to count, one slot of six stood idle from then on.
         slots = Slots(6)
-        slots.refused(Load(0, 0, 6), 0, 1.0)
-        slots.answered(Load(3, 0, 6), 3, 1.1)
+        slots.record_refusal(Load(0, 0, 6), 0, 1.0)
+        slots.record_answer(Load(3, 0, 6), 3, 1.1)
         self.assertEqual(slots.free(2, 1.1), 4)
-        slots.refused(Load(5, 0, 6), 2, 1.2)
+        slots.record_refusal(Load(5, 0, 6), 2, 1.2)
         self.assertEqual(slots.free(2, 1.2), 1)
 
     def test_a_reset_at_once_is_a_full_upstream(self):
         slots = Slots(6)
-        slots.full(3, 1.0)
+        slots.record_reset(3, 1.0)
         self.assertEqual(slots.free(2, 1.0), 0)
         self.assertFalse(slots.admits(False, 2, 1.0))
-        self.assertTrue(slots.closed(1.0 + CLOSED_SECONDS / 2))
-        slots.answered(Load(1, 0, 6), 1, 1.5)
-        self.assertFalse(slots.closed(1.5))
+        self.assertTrue(slots.resetting(1.0 + RESETTING_SECONDS / 2))
+        slots.record_answer(Load(1, 0, 6), 1, 1.5)
+        self.assertFalse(slots.resetting(1.5))
 
     def test_orders_that_would_be_reset_are_refused_as_not_run(self):
         # Two orders wait as the upstream resets a read. Sent, they would be lost; kept
@@ -229,56 +229,56 @@
         for ticket, idempotent in ((1, True), (2, False), (3, True)):
             admission.arrive(Arrival(ticket, "a", 1, 1.0, 4.0, idempotent), 0.0)
         self.assertEqual(admission.next(0.0)[0].ticket, 1)
-        admission.turned_away(0.001)
+        admission.record_reset(0.001)
         admission.finish(1, False, 0.001)
-        (refused,) = admission.overdue(0.001)
+        (refused,) = admission.drop_overdue(0.001)
         self.assertEqual((refused.arrival.ticket, refused.reason), (2, "upstream-full"))
         late = admission.arrive(Arrival(4, "a", 1, 1.0, 4.0, False), 0.01)
         self.assertEqual(late.reason, "upstream-full")
         self.assertEqual(admission.next(0.1)[0].ticket, 3)
-        admission.answered(Load(1, 0, 1), 0.2)
+        admission.record_answer(Load(1, 0, 1), 0.2)
         admission.finish(3, True, 0.2)
         self.assertIsNone(admission.arrive(Arrival(5, "a", 1, 1.0, 4.0, False), 0.2))
 
     def test_the_lesser_word_on_slots_counts(self):
         slots = Slots(6)
-        slots.answered(Load(1, 0, 3), 1, 1.0)
+        slots.record_answer(Load(1, 0, 3), 1, 1.0)
         self.assertEqual(slots.count, 3)
-        slots.answered(Load(1, 0, 8), 1, 2.0)
+        slots.record_answer(Load(1, 0, 8), 1, 2.0)
         self.assertEqual(slots.count, 6)
         slots.published = 2
         self.assertEqual(slots.count, 2)
 
     def test_calls_of_others_are_forgotten_step_by_step(self):
         slots = Slots(6)
-        slots.answered(Load(6, 2), 1, 1.0)
+        slots.record_answer(Load(6, 2), 1, 1.0)
         first = slots.free(1, 1.0)
-        later = slots.free(1, 1.0 + FOREIGN_SECONDS)
-        self.assertTrue(first < later < slots.free(1, 1.0 + 9 * FOREIGN_SECONDS) == 5)
+        later = slots.free(1, 1.0 + FOREIGN_HALF_LIFE)
+        self.assertTrue(first < later < slots.free(1, 1.0 + 9 * FOREIGN_HALF_LIFE) == 5)
 
     def test_cancelled_calls_hold_their_slots_until_an_answer_tells(self):
         # Two callers have left. The upstream drops their calls as it notices the end of
         # their connections, or runs them on; only its next answer shows which.
         for beside, free in ((0, 3), (2, 1)):
             slots = Slots(4)
-            slots.answered(Load(1, 0, 4), 1, 0.5)
+            slots.record_answer(Load(1, 0, 4), 1, 0.5)
             slots.abandon(1.0)
             slots.abandon(1.0)
-            self.assertEqual(slots.free(1, 1.0 + SETTLE_SECONDS), 1)
-            slots.answered(Load(1 + beside, 0, 4), 1, 1.1)
+            self.assertEqual(slots.free(1, 1.0 + CANCEL_SECONDS), 1)
+            slots.record_answer(Load(1 + beside, 0, 4), 1, 1.1)
             self.assertEqual(slots.free(1, 1.1), free)
 
     def test_nobody_waits_for_an_answer_where_nothing_runs(self):
         slots = Slots(2)
-        slots.answered(Load(1, 0, 2), 1, 0.5)
+        slots.record_answer(Load(1, 0, 2), 1, 0.5)
         slots.abandon(1.0)
         slots.abandon(1.0)
         self.assertEqual(slots.free(0, 1.0), 0)
-        self.assertEqual(slots.free(0, 1.0 + SETTLE_SECONDS), 2)
+        self.assertEqual(slots.free(0, 1.0 + CANCEL_SECONDS), 2)
 
     def test_a_restart_frees_every_slot(self):
         slots = Slots(4)
-        slots.answered(Load(9, 0, 4), 1, 1.0)
+        slots.record_answer(Load(9, 0, 4), 1, 1.0)
         slots.abandon(1.0)
         slots.restarted()
         self.assertEqual(slots.free(0, 1.0), 4)
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -12,7 +12,7 @@
     Departure,
     Endpoint,
     MeshConfig,
-    Published,
+    PublishedEndpoint,
     Route,
     Service,
 )
@@ -246,7 +246,7 @@
     def test_an_entry_that_was_removed_is_not_taken_from_a_node_that_lags(self):
         # A node starts and reads the store, after an upstream has left. Another, which
         # has not heard of that yet, tells the new one all it knows.
-        self.directory.reconcile([Published(endpoint("i-2"), 6)], 9, 10.0)
+        self.directory.reconcile([PublishedEndpoint(endpoint("i-2"), 6)], 9, 10.0)
         self.directory.complete_to = 9
         self.assertFalse(self.directory.put(endpoint("i-1"), 5, 11.0, told=True))
         self.assertTrue(self.directory.put(endpoint("i-3"), 10, 11.0, told=True))
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -11,7 +11,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import TcpDialer
 from sequoiaspoke.sidecar.gossip import Gossip
-from sequoiaspoke.sidecar.home import SETTLE_SECONDS, Home
+from sequoiaspoke.sidecar.home import CANCEL_SECONDS, Home
 from sequoiaspoke.sidecar.homecall import HomeCall
 from sequoiaspoke.sidecar.linkclient import HEARD_LATELY, LinkClient
 from sequoiaspoke.sidecar.linkserver import LinkServer
@@ -262,7 +262,7 @@
             cancelled = clock.now()
             first.cancel()
             await world.until(lambda: len(world.upstream.runs) == 2)
-            self.assertTrue(clock.now() - cancelled >= SETTLE_SECONDS)
+            self.assertTrue(clock.now() - cancelled >= CANCEL_SECONDS)
             second.cancel()
 
         self.play(scenario)
--- a/sequoiaspoke/tests/test_sidecar_entry.py
+++ b/sequoiaspoke/tests/test_sidecar_entry.py
@@ -6,11 +6,11 @@
 from testtools import TestCase
 from tornado.netutil import bind_sockets
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
 from sequoiaspoke.core.mesh.outcome import TIMED_OUT, Answer, NotRun, Request, Unknown
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.core.mesh.reading import ReadingDuty
-from sequoiaspoke.core.mesh.repeats import RepeatLimits
+from sequoiaspoke.core.mesh.retrybudget import RetryLimits
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
@@ -29,7 +29,7 @@
 
 WAIT = 20.0  # seconds; only a failing test waits so long
 LOST = Unknown("connection-lost")
-SHED = NotRun("upstream-refused", 0.2, reached=True)
+SHED = NotRun("upstream-refused", 0.2, from_upstream=True)
 SERVED = Answer(200, (), b"served")
 
 
@@ -59,7 +59,7 @@
         outcome = self.script[instance]
         if outcome is not None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(attempt.take, outcome, News())
+            loop.call_soon(attempt.take, outcome, LoadReport())
 
 
 def route(name, idempotent):
@@ -83,7 +83,7 @@
     identity = LinkIdentity("10.0.9.9", "akaki", 1)
     spread = Spread(state, ReadingDuty("10.0.9.9", "akaki"), log)
     peers = Peers(identity, 1, state, spread, rng, log, TcpDialer())
-    limits = RepeatLimits(0.2, 500, 10)
+    limits = RetryLimits(0.2, 500, 10)
     made = Entry("fleet", {}, names, state, home, peers, limits, rng, log)
     made.attempts = ScriptedAttempts(state, home, peers, limits, {}, log)
     made.attempts.script = script
@@ -182,7 +182,7 @@
     def play(self, usual):
         async def run():
             made = entry({"a": SERVED})
-            made.attempts.placing.mean["order"] = usual
+            made.attempts.placing.mean_seconds["order"] = usual
             made.closes_at = clock.now() + 1.0
             return await made.handle(request("order")), made.attempts.sent
 
@@ -243,7 +243,7 @@
         async def run():
             made = entry({"a": None})
             made.stop_at(clock.now() + 0.5)
-            made.attempts.placing.mean["order"] = 0.05
+            made.attempts.placing.mean_seconds["order"] = 0.05
             return (await made.handle(request("order"))).status
 
         self.assertEqual(asyncio.run(run()), 504)
--- a/sequoiaspoke/tests/test_sidecar_upstream.py
+++ b/sequoiaspoke/tests/test_sidecar_upstream.py
@@ -172,8 +172,8 @@
         self.assertEqual(
             outcomes,
             [
-                NotRun("upstream-refused", reached=True),
-                NotRun("instance-replaced", reached=True),
+                NotRun("upstream-refused", from_upstream=True),
+                NotRun("instance-replaced", from_upstream=True),
             ],
         )
 
