--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -34,8 +34,8 @@
 SERVICE = "fleet"
 SLOTS = 3
 RATIO, SLACK, WINDOW = 0.05, 6.0, 10.0
-PATIENCE = 4.0  # seconds for which callers wait
-LATE = 0.5  # seconds beyond it after which an answer breaks the promise
+TIMEOUT = 4.0  # seconds for which callers wait
+LATE_TOLERANCE = 0.5  # seconds beyond it after which an answer breaks the promise
 
 
 class VirtualSelector(selectors.SelectSelector):
@@ -158,24 +158,24 @@
 
     def __init__(self, world, instance):
         self.world, self.instance = world, instance
-        self.slow = 1.0
-        self.losing = 0.0
-        self.shedding = 0.0
+        self.slowdown = 1.0
+        self.losing_share = 0.0
+        self.shedding_share = 0.0
 
     async def call(self, request, instance, deadline, idempotent, on_send):
         on_send()
         rng, world = self.world.rng, self.world
         call_id = request.header("x-request-id")
         world.arrivals[call_id].append((self.instance, world.now()))
-        if rng.random() < self.shedding:
+        if rng.random() < self.shedding_share:
             return NotRun("upstream-refused", 0.1, from_upstream=True)
         world.ran(call_id, self.instance)
         try:
-            await asyncio.sleep(self.slow * rng.uniform(0.05, 0.3))
+            await asyncio.sleep(self.slowdown * rng.uniform(0.05, 0.3))
         except asyncio.CancelledError:
-            world.broken_off[call_id] += 1
+            world.cancelled[call_id] += 1
             raise
-        if rng.random() < self.losing:
+        if rng.random() < self.losing_share:
             return Unknown("connection-lost")
         return Answer(200, (), call_id.encode(), 0.1)
 
@@ -295,7 +295,7 @@
         self.store_down = False
         self.runs = defaultdict(list)
         self.arrivals = defaultdict(list)
-        self.broken_off = Counter()
+        self.cancelled = Counter()
         self.answers = {}
         self.sent = {}
         self.problems = []
@@ -315,7 +315,7 @@
 
     def route(self, name):
         split = (WeightedService(SERVICE),)
-        return Route(name, "x", f"/{name}/", name == "read", PATIENCE, 0.5, 1, 2, split)
+        return Route(name, "x", f"/{name}/", name == "read", TIMEOUT, 0.5, 1, 2, split)
 
     def now(self):
         return asyncio.get_running_loop().time()
@@ -331,7 +331,7 @@
 
     # Callers.
 
-    async def caller(self, number):
+    async def make_call(self, number):
         """Make one call and check what comes back."""
         rng = self.rng
         host = rng.choice(list(self.nodes))
@@ -343,17 +343,17 @@
         headers = (
             ("Host", "x"),
             ("X-Request-Id", call_id),
-            ("X-Time-Left-Ms", str(int(PATIENCE * 1000))),
+            ("X-Time-Left-Ms", str(int(TIMEOUT * 1000))),
         )
         request = Request("GET", f"/{name}/1", headers, b"")
-        begun = self.sent[call_id] = self.now()
+        started = self.sent[call_id] = self.now()
         task = node.spawn(node.entry.handle(request))
         try:
             answer = await asyncio.shield(task)
         except asyncio.CancelledError:
             # The entry was killed; its caller sees a closed connection.
             return
-        if self.now() - begun > PATIENCE + LATE:
+        if self.now() - started > TIMEOUT + LATE_TOLERANCE:
             self.problems.append(f"{call_id}: answered late")
         self.answers[call_id] = answer
         if answer.status == 200 and answer.body != call_id.encode():
@@ -365,8 +365,8 @@
         """Bring one fault after the other, overlapping."""
         end = self.now() + seconds
         choices = [
-            self.reset_links, self.cut, self.kill, self.slow, self.lose, self.shed,
-            self.outage, self.silence,
+            self.reset_links, self.cut_link, self.kill_node, self.slow_upstream,
+            self.lose_answers, self.shed_calls, self.store_outage, self.silence_links,
         ]  # fmt: skip
         tasks = []
         while self.now() < end:
@@ -379,19 +379,19 @@
             there.end()
             back.end()
 
-    async def silence(self):
+    async def silence_links(self):
         """Let a few links lie dead without a word."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
 
-    async def cut(self):
+    async def cut_link(self):
         pair = tuple(self.rng.sample(list(self.nodes), 2))
         self.cuts.add(pair)
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
         self.cuts.discard(pair)
 
-    async def kill(self):
+    async def kill_node(self):
         node = self.nodes[self.rng.choice(list(self.nodes))]
         if not node.up:
             return
@@ -399,22 +399,22 @@
         await asyncio.sleep(self.rng.uniform(0.02, 1.0))
         node.start()
 
-    async def slow(self):
-        await self.trouble("slow", self.rng.choice((4.0, 12.0)), 1.0)
+    async def slow_upstream(self):
+        await self.set_fault("slowdown", self.rng.choice((4.0, 12.0)), 1.0)
 
-    async def lose(self):
-        await self.trouble("losing", 0.4, 0.0)
+    async def lose_answers(self):
+        await self.set_fault("losing_share", 0.4, 0.0)
 
-    async def shed(self):
-        await self.trouble("shedding", 0.5, 0.0)
+    async def shed_calls(self):
+        await self.set_fault("shedding_share", 0.5, 0.0)
 
-    async def trouble(self, name, value, usual):
+    async def set_fault(self, name, value, usual):
         upstream = self.nodes[self.rng.choice(list(self.nodes))].upstream
         setattr(upstream, name, value)
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
         setattr(upstream, name, usual)
 
-    async def outage(self):
+    async def store_outage(self):
         self.store_down = True
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         self.store_down = False
@@ -427,16 +427,16 @@
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.rng.expovariate(rate))
-            callers.append(asyncio.ensure_future(self.caller(len(callers))))
+            callers.append(asyncio.ensure_future(self.make_call(len(callers))))
         await asyncio.gather(*callers, faults)
         await asyncio.sleep(12.0)
-        self.judge()
+        self.check_guarantees()
         for node in self.nodes.values():
             if node.up:
                 node.kill()
         await asyncio.sleep(0)
 
-    def judge(self):
+    def check_guarantees(self):
         """Check the promises that hold over the whole history."""
         for call_id, runs in self.runs.items():
             if call_id.startswith("order") and len(runs) > 1:
@@ -449,20 +449,20 @@
                 self.problems.append(f"{call_id}: told as not run, and ran")
             if answer.status == 200 and not ran:
                 self.problems.append(f"{call_id}: answered without a run")
-        self.judge_repeats()
+        self.check_retries()
 
-    def judge_repeats(self):
-        again = sorted(
+    def check_retries(self):
+        retry_times = sorted(
             when for arrived in self.arrivals.values() for _, when in arrived[1:]
         )
-        for begin in again:
-            repeats = sum(begin <= when < begin + WINDOW for when in again)
-            firsts = max(
+        for begin in retry_times:
+            retries = sum(begin <= when < begin + WINDOW for when in retry_times)
+            first_attempts = max(
                 sum(since <= sent < since + WINDOW for sent in self.sent.values())
                 for since in (begin, begin - WINDOW / 2, begin - WINDOW)
             )
-            if repeats > RATIO * firsts + SLACK:
-                self.problems.append(f"{repeats} repeats for {firsts} calls")
+            if retries > RATIO * first_attempts + SLACK:
+                self.problems.append(f"{retries} retries for {first_attempts} calls")
                 return
 
 
--- a/sequoiaspoke/tests/test_mesh_clocks.py
+++ b/sequoiaspoke/tests/test_mesh_clocks.py
@@ -6,18 +6,18 @@
 from testtools import TestCase
 
 from sequoiaspoke.tests.meshsim import play
-from sequoiaspoke.tests.spreadsim import play as play_following
+from sequoiaspoke.tests.spreadsim import play as play_spread
 
 STEPS = (0.0, 2400.0, -5.0, 60.0, -2400.0, 1e6, -1e9)  # seconds, in turn
 SEEDS = (3, 11)
 
 
 class ClockStepTests(TestCase):
-    def stepping(self):
+    def step_clock(self):
         """Let the time of day jump at each look."""
         steps = itertools.cycle(STEPS)
-        true = time.time
-        self.patch(time, "time", lambda: true() + next(steps))
+        real_time = time.time
+        self.patch(time, "time", lambda: real_time() + next(steps))
 
     def test_callers_get_the_same_answers_whatever_the_time_of_day(self):
         # The time of day is set back or ahead on a VM. Had a deadline or the window of
@@ -25,7 +25,7 @@
         # repeated beyond what is allowed.
         for seed in SEEDS:
             before = play(seed, self)
-            self.stepping()
+            self.step_clock()
             after = play(seed, self)
             self.assertEqual(after.problems, [])
             self.assertEqual(after.answers, before.answers)
@@ -35,9 +35,9 @@
         # Had the age of what is known been reckoned by it, a node would take its
         # readers for silent, or believe them for hours.
         for seed in SEEDS:
-            before = play_following(seed, self)
-            self.stepping()
-            after = play_following(seed, self)
+            before = play_spread(seed, self)
+            self.step_clock()
+            after = play_spread(seed, self)
             self.assertEqual(after.problems, [])
             versions = [
                 [node.versions for node in world.nodes.values()]
--- a/sequoiaspoke/tests/test_mesh_coldstart.py
+++ b/sequoiaspoke/tests/test_mesh_coldstart.py
@@ -26,10 +26,10 @@
 LIMITS = ColdLimits(overage=1.5, slack=2.0)
 SERVICE = Service("fleet", "/health", cold_rate=4.0, cold_seconds=3.0)
 COLD = replace(ENDPOINT, cold_seconds=2.0)
-MOST = 8  # calls in any second: 4 times 1.5 and 2
+MAX_PER_SECOND = 8  # calls in any second: 4 times 1.5 and 2
 
 
-def most_in_a_second(times):
+def max_per_second(times):
     """Return the most of some times that lie in one second."""
     return max(sum(t <= u < t + BOUND_SECONDS for u in times) for t in times)
 
@@ -37,7 +37,7 @@
 class LimitsTests(TestCase):
     def test_the_bound(self):
         # One call is left for the health checks.
-        self.assertEqual(LIMITS.max_calls(SERVICE.cold_rate), MOST - 1)
+        self.assertEqual(LIMITS.max_calls(SERVICE.cold_rate), MAX_PER_SECOND - 1)
 
     def test_no_bound_without_a_rate(self):
         self.assertIsNone(LIMITS.max_calls(0.0))
@@ -47,7 +47,7 @@
     def setUp(self):
         super().setUp()
         self.cold = ColdStart()
-        self.cold.max_calls = MOST - 1
+        self.cold.max_calls = MAX_PER_SECOND - 1
         self.cold.record_cold_time(3.0, 0.0)
 
     def hand_over(self, now, count):
@@ -83,7 +83,7 @@
         self.cold.record_cold_time(0.0, 0.0)
         self.cold.assume_cold(1.0, 3.0)
         self.assertTrue(self.cold.assumed_cold(2.0))
-        self.assertEqual(self.cold.remaining(2.0), MOST - 1)
+        self.assertEqual(self.cold.remaining(2.0), MAX_PER_SECOND - 1)
         self.cold.record_cold_time(0.0, 2.0)
         self.assertIsNone(self.cold.remaining(2.0))
         self.cold.assume_cold(3.0, 3.0)
@@ -95,11 +95,11 @@
         self.cold.expect_earlier_calls(0.0)
         self.assertEqual(self.cold.remaining(0.9), 0)
         self.assertAlmostEqual(self.cold.wait(0, 0.4), WINDOW - 0.4)
-        self.assertEqual(self.cold.remaining(WINDOW + 0.01), MOST - 1)
+        self.assertEqual(self.cold.remaining(WINDOW + 0.01), MAX_PER_SECOND - 1)
 
 
 class ColdAdmissionTests(TestCase):
-    def play(self, seed, rate, most=MOST - 1):
+    def play(self, seed, rate, most=MAX_PER_SECOND - 1):
         """Play random arrivals at a cold upstream; return when they were handed over.
 
         Also return how many were refused.
@@ -108,7 +108,7 @@
         admission = Admission(9)
         admission.cold_start.max_calls = most
         admission.cold_start.record_cold_time(9.0, 0.0)
-        now, handed, refused, ends = 0.0, [], 0, []
+        now, sent, refused, ends = 0.0, [], 0, []
         for number in range(int(rate * 3)):
             now += rng.expovariate(rate)
             for end, ticket in [each for each in ends if each[0] <= now]:
@@ -122,22 +122,22 @@
                 if given is None:
                     break
                 admission.send(given.ticket, now)
-                handed.append(now)
+                sent.append(now)
                 ends.append((now + rng.uniform(0.05, 0.3), given.ticket))
-        return handed, refused
+        return sent, refused
 
     def test_no_second_has_more_than_the_bound(self):
         # A zone comes back cold and all entries find it idle. Its upstreams would be
         # sent several times what they bear, and crash one after the other.
         for seed in range(20):
-            handed, _ = self.play(seed, rate=60)
-            self.assertTrue(most_in_a_second(handed) <= MOST, seed)
+            sent, _ = self.play(seed, rate=60)
+            self.assertTrue(max_per_second(sent) <= MAX_PER_SECOND, seed)
             # The bound is used, not only kept.
-            self.assertTrue(len(handed) >= 2 * (MOST - 1), (seed, len(handed)))
+            self.assertTrue(len(sent) >= 2 * (MAX_PER_SECOND - 1), (seed, len(sent)))
 
     def test_without_the_bound_a_second_has_more(self):
-        handed, _ = self.play(1, rate=60, most=None)
-        self.assertTrue(most_in_a_second(handed) > MOST)
+        sent, _ = self.play(1, rate=60, most=None)
+        self.assertTrue(max_per_second(sent) > MAX_PER_SECOND)
 
     def test_what_would_be_late_is_refused_at_once(self):
         # A caller that waits for a cold upstream in vain cannot be served elsewhere.
@@ -146,22 +146,22 @@
 
     def test_entries_are_told_of_the_wait(self):
         admission = Admission(9)
-        admission.cold_start.max_calls = MOST - 1
+        admission.cold_start.max_calls = MAX_PER_SECOND - 1
         admission.cold_start.record_cold_time(3.0, 0.0)
-        for number in range(MOST - 1):
+        for number in range(MAX_PER_SECOND - 1):
             admission.cold_start.begin(number)
             admission.cold_start.send(number, 0.0)
         self.assertAlmostEqual(admission.wait_for_rank(0, 0.1), WINDOW - 0.1)
 
 
-class TellingUpstream:
+class ReportingUpstream:
     """Answers calls at once and health checks with how cold it is."""
 
     told_load = None
 
     def __init__(self):
         self.cold_seconds = 0.0
-        self.asked = []
+        self.health_checks = []
         self.ran = []
         self.reachable = True
         # Holds up connections to it until it is set.
@@ -177,7 +177,7 @@
         return Answer(200, (), b"")
 
     async def ask_cold(self, path, deadline):
-        self.asked.append(path)
+        self.health_checks.append(path)
         return self.cold_seconds if self.reachable else None
 
     def forget_connections(self):
@@ -196,7 +196,7 @@
         async def run():
             log = EventLog("x-request-id")
             log.allowed = lambda kind: False
-            self.directory, self.upstream = Directory(), TellingUpstream()
+            self.directory, self.upstream = Directory(), ReportingUpstream()
             self.directory.put(ENDPOINT, 5, self.time)
             self.home = Home(self.upstream, self.directory, log)
             self.home.take_slots(9)
@@ -230,7 +230,7 @@
         async def scenario():
             self.assertEqual(await self.submit(30), 30)
             await self.wait(1.0)
-            self.assertEqual(self.upstream.asked, [])
+            self.assertEqual(self.upstream.health_checks, [])
 
         self.play(scenario)
 
@@ -238,7 +238,7 @@
         async def scenario():
             self.directory.put(COLD, 6, self.time)
             self.home.take_endpoint(COLD)
-            self.assertEqual(await self.submit(30), MOST - 1)
+            self.assertEqual(await self.submit(30), MAX_PER_SECOND - 1)
 
         self.play(scenario)
 
@@ -248,13 +248,13 @@
         async def scenario():
             self.home.evacuate(True, 0)
             await self.wait(2.0)
-            self.assertEqual(self.upstream.asked, [])
+            self.assertEqual(self.upstream.health_checks, [])
             self.upstream.cold_seconds = 2.0
             self.home.evacuate(False, 9)
-            self.assertEqual(await self.submit(30), MOST - 1)
+            self.assertEqual(await self.submit(30), MAX_PER_SECOND - 1)
             await self.wait(WINDOW)
-            self.assertEqual(self.upstream.asked, ["/health"])
-            self.assertEqual(most_in_a_second(self.upstream.ran), MOST - 1)
+            self.assertEqual(self.upstream.health_checks, ["/health"])
+            self.assertEqual(max_per_second(self.upstream.ran), MAX_PER_SECOND - 1)
 
         self.play(scenario)
 
@@ -272,7 +272,7 @@
         async def scenario():
             self.upstream.cold_seconds = 2.0
             self.home.evacuate(False, 9)
-            self.assertEqual(await self.submit(30), MOST - 1)
+            self.assertEqual(await self.submit(30), MAX_PER_SECOND - 1)
 
         self.play(scenario)
 
@@ -289,7 +289,7 @@
             self.upstream.gate.set()
             await self.settle()
             await self.wait(0.3)
-            self.assertEqual(most_in_a_second(self.upstream.ran), MOST - 1)
+            self.assertEqual(max_per_second(self.upstream.ran), MAX_PER_SECOND - 1)
 
         self.play(scenario)
 
@@ -301,11 +301,11 @@
             await self.submit(1)
             await self.wait(0.3)
             self.upstream.reachable, self.upstream.cold_seconds = True, 2.5
-            self.assertEqual(await self.submit(30), MOST - 1)
+            self.assertEqual(await self.submit(30), MAX_PER_SECOND - 1)
             await self.wait(0.3)
-            self.assertEqual(len(self.upstream.asked), 3)
+            self.assertEqual(len(self.upstream.health_checks), 3)
             await self.wait(2.6)
             await self.wait(0.1)
-            self.assertTrue(await self.submit(30) > MOST)
+            self.assertTrue(await self.submit(30) > MAX_PER_SECOND)
 
         self.play(scenario)
--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -151,24 +151,24 @@
         )
         return chosen.instance
 
-    def tell(self, instance, now=1.0, **news):
+    def report(self, instance, now=1.0, **news):
         self.placing.record_load(Incarnation(instance), "a", LoadReport(**news), now)
 
     def test_the_own_zone_is_preferred_while_it_answers_in_time(self):
-        self.tell("1", expected=0.2)
-        self.tell("2", expected=0.1)
+        self.report("1", expected=0.2)
+        self.report("2", expected=0.1)
         self.assertEqual(self.choose(), "1")
 
     def test_another_zone_is_taken_when_the_own_would_be_late(self):
-        self.tell("1", expected=0.55)
-        self.tell("2", expected=0.2)
+        self.report("1", expected=0.55)
+        self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
 
     def test_large_answers_stay_in_the_zone_longer_than_small_ones(self):
         # Bytes between zones are paid for. A page of many kilobytes is not worth
         # sending away for a few answers more on time; a short call is.
-        self.tell("1", expected=0.36)
-        self.tell("2", expected=0.2)
+        self.report("1", expected=0.36)
+        self.report("2", expected=0.2)
         self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
         self.assertEqual(self.choose(), "2")
         self.placing.mean_bytes["a"] = 6000
@@ -178,37 +178,37 @@
         # A new upstream is expected to take the usual time. A node whose choice is
         # faster would never send it a call, and its slots stay empty.
         joined = endpoint("3")
-        self.tell("1", expected=0.1)
-        self.tell("2", expected=0.1)
+        self.report("1", expected=0.1)
+        self.report("2", expected=0.1)
         self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
-        ends = (self.near, self.far, joined)
-        chosen = self.placing.choose(self.route, ends, lambda _: False, 1.0, 0.6)
+        endpoints = (self.near, self.far, joined)
+        chosen = self.placing.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "3")
         self.placing.begin(Incarnation("3"))
-        chosen = self.placing.choose(self.route, ends, lambda _: False, 1.0, 0.6)
+        chosen = self.placing.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "1")
 
     def test_calls_that_last_too_long_tell_of_a_slow_upstream(self):
         # An upstream turns twelve times slower. None of its calls has been answered
         # yet, so nothing was measured; those that go on being sent there all fail.
-        self.tell("1", expected=0.2, slowdown=4.0)
-        self.tell("2", expected=0.2)
+        self.report("1", expected=0.2, slowdown=4.0)
+        self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=9.0), "1")
 
     def test_an_upstream_that_fails_is_avoided_for_a_while(self):
         # One upstream turns away every second call while its health check passes. It
         # has the most room of all and would get the most calls.
-        self.tell("1", expected=0.2)
-        self.tell("2", expected=0.25)
+        self.report("1", expected=0.2)
+        self.report("2", expected=0.25)
         for _ in range(4):
             self.placing.record_failure(Incarnation("1"), 1.0)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=12.0), "1")
 
     def test_a_full_home_sends_calls_elsewhere(self):
-        self.tell("1", expected=0.2, wait=0.6)
-        self.tell("2", expected=0.2)
+        self.report("1", expected=0.2, wait=0.6)
+        self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
 
 
@@ -317,12 +317,12 @@
         self.assertTrue(on_time > 170, on_time)
         self.assertTrue(self.admission.waiting <= 6)
 
-    def play_billing(self, ahead):
+    def simulate_billing(self, nested):
         """Return the share of look-ups and of charges served under an overload."""
         self.admission = Admission(4)
         seconds = {"charge": 0.15, "look": 0.055}
-        ranks = {"charge": queue_rank(0, False), "look": queue_rank(1, ahead)}
-        asked, served = Counter(), Counter()
+        ranks = {"charge": queue_rank(0, False), "look": queue_rank(1, nested)}
+        submitted, served = Counter(), Counter()
         running = {}
         for step in range(4000):
             now = step * 0.005
@@ -333,7 +333,7 @@
             # Charges fill the slots by themselves, look-ups need a third of them.
             for kind, every in (("charge", 7), ("look", 7)):
                 if step % every == 0:
-                    asked[kind] += 1
+                    submitted[kind] += 1
                     arrival = Arrival(
                         (kind, step), kind, ranks[kind], now + 0.5, now + 0.6
                     )
@@ -343,13 +343,13 @@
                 if arrival is None:
                     break
                 running[arrival.ticket] = now + seconds[arrival.route]
-        return {kind: served[kind] / asked[kind] for kind in asked}
+        return {kind: served[kind] / submitted[kind] for kind in submitted}
 
     def test_nested_calls_are_not_starved_by_urgent_ones(self):
         # A service is short of slots for the urgent charges alone. The look-ups that
         # bookings need there wait behind them until it is too late, and each fails a
         # booking of twice a charge's work that is half done elsewhere.
-        before, after = self.play_billing(False), self.play_billing(True)
+        before, after = self.simulate_billing(False), self.simulate_billing(True)
         self.assertTrue(before["look"] < 0.3, before)
         self.assertTrue(after["look"] > 0.95, after)
         # Of the slots they leave room for 57 charges in 100.
--- a/sequoiaspoke/tests/test_mesh_lossy.py
+++ b/sequoiaspoke/tests/test_mesh_lossy.py
@@ -9,32 +9,36 @@
 
 SEEDS = range(6)
 # Share of packets that are lost, and seconds until one is sent again.
-LOST, RESENT = 0.03, 0.25
+LOSS_RATE, RESEND_DELAY = 0.03, 0.25
 # Seconds of an answer of a store that is sixty times slower than usual.
-SLOW = 0.24
+SLOW_DELAY = 0.24
 
 
 class LossyMesh(MeshWorld):
     """A mesh in which what follows a lost packet waits until it is sent again."""
 
     def delay(self):
-        return super().delay() + (RESENT if self.rng.random() < LOST else 0.0)
+        return super().delay() + (
+            RESEND_DELAY if self.rng.random() < LOSS_RATE else 0.0
+        )
 
 
-class LossyFollowing(SpreadWorld):
+class LossySpread(SpreadWorld):
     """The same for nodes that follow the store."""
 
     def delay(self):
-        return super().delay() + (RESENT if self.rng.random() < LOST else 0.0)
+        return super().delay() + (
+            RESEND_DELAY if self.rng.random() < LOSS_RATE else 0.0
+        )
 
 
-class SlowFollowing(SpreadWorld):
+class SlowSpread(SpreadWorld):
     """Nodes whose store, and links, take long for each answer."""
 
     def delay(self):
-        return super().delay() + SLOW
+        return super().delay() + SLOW_DELAY
 
-    def judge_moment(self, problem):
+    def is_relevant(self, problem):
         """Return whether a problem is one beyond being told late."""
         return "not acted on" not in problem
 
@@ -54,7 +58,7 @@
         # A reader's confirmation comes late now and then. Nodes that took their readers
         # for dead at once would all read the store.
         for seed in SEEDS:
-            world = play_world(partial(LossyFollowing, seed), self)
+            world = play_world(partial(LossySpread, seed), self)
             self.assertEqual((seed, world.problems), (seed, []))
 
 
@@ -63,6 +67,6 @@
         # Each answer of the store takes a quarter of a second for the whole history. A
         # change may be acted on late; an older version, or another end, is never right.
         for seed in SEEDS:
-            world = play_world(partial(SlowFollowing, seed), self)
-            beyond = [each for each in world.problems if world.judge_moment(each)]
-            self.assertEqual((seed, beyond), (seed, []))
+            world = play_world(partial(SlowSpread, seed), self)
+            relevant = [each for each in world.problems if world.is_relevant(each)]
+            self.assertEqual((seed, relevant), (seed, []))
--- a/sequoiaspoke/tests/test_mesh_regions.py
+++ b/sequoiaspoke/tests/test_mesh_regions.py
@@ -10,20 +10,20 @@
 from sequoiaspoke.tests.meshsim import MeshWorld, play_world
 
 SEEDS = range(6)
-HOME, ELSEWHERE = "south", "north"
+ALLOWED, FORBIDDEN = "south", "north"
 
 
-class BoundMesh(MeshWorld):
+class RegionBoundMesh(MeshWorld):
     """A mesh of two zones in two regions, whose routes are bound to one of them."""
 
-    regions = {"z0": HOME, "z1": ELSEWHERE}
-    bound = frozenset({HOME})
+    regions = {"z0": ALLOWED, "z1": FORBIDDEN}
+    bound = frozenset({ALLOWED})
 
     def route(self, name):
         return replace(super().route(name), regions=self.bound)
 
 
-class NowhereMesh(BoundMesh):
+class UnservedRegionMesh(RegionBoundMesh):
     """The same with routes that are bound to a region that has no zone."""
 
     bound = frozenset({"west"})
@@ -35,11 +35,11 @@
         self.sent_to = []
         submit = LinkClient.submit
 
-        def noted(link, call, tell):
+        def recording_submit(link, call, tell):
             self.sent_to.append((link.identity.host, link.address[0]))
             return submit(link, call, tell)
 
-        self.patch(LinkClient, "submit", noted)
+        self.patch(LinkClient, "submit", recording_submit)
 
     def play(self, mesh, seed):
         """Play a mesh; return it and the regions where calls ran and were sent."""
@@ -58,17 +58,17 @@
         # Nodes are killed and cut off, upstreams turn slow, shed and lose answers, and
         # each time another region has room. Its law does not allow these calls there.
         for seed in SEEDS:
-            world, ran, sent = self.play(BoundMesh, seed)
-            self.assertEqual((ran, sent), ({HOME}, {HOME}))
+            world, ran, sent = self.play(RegionBoundMesh, seed)
+            self.assertEqual((ran, sent), ({ALLOWED}, {ALLOWED}))
             self.assertTrue(any(a.status == 200 for a in world.answers.values()))
 
     def test_calls_that_may_run_nowhere_are_refused_as_not_run(self):
-        world, ran, sent = self.play(NowhereMesh, 1)
+        world, ran, sent = self.play(UnservedRegionMesh, 1)
         self.assertEqual((ran, sent), (set(), set()))
         self.assertEqual({a.status for a in world.answers.values()}, {503})
 
     def test_without_the_guard_they_go_elsewhere(self):
         # The safeguard switched off.
         self.patch(Attempts, "allowed", lambda self, route, endpoint: True)
-        _, ran, _ = self.play(BoundMesh, 1)
-        self.assertIn(ELSEWHERE, ran)
+        _, ran, _ = self.play(RegionBoundMesh, 1)
+        self.assertIn(FORBIDDEN, ran)
--- a/sequoiaspoke/tests/test_mesh_sample.py
+++ b/sequoiaspoke/tests/test_mesh_sample.py
@@ -31,7 +31,7 @@
     ]
 
 
-def anything(endpoint):
+def always(endpoint):
     return True
 
 
@@ -44,10 +44,10 @@
 
     def test_a_small_service_is_compared_whole(self):
         few = self.all[:FULL_COMPARISON_LIMIT]
-        self.assertEqual(self.sample.candidates(few, few[:2], anything), few)
+        self.assertEqual(self.sample.candidates(few, few[:2], always), few)
 
     def test_of_a_large_one_a_few_are_drawn_most_of_them_near(self):
-        found = self.sample.candidates(self.all, self.near, anything)
+        found = self.sample.candidates(self.all, self.near, always)
         self.assertTrue(
             SAME_ZONE_DRAWS <= len(found) <= SAME_ZONE_DRAWS + ANY_ZONE_DRAWS
         )
@@ -73,7 +73,7 @@
         self.assertEqual(found, [])
 
 
-class FleetPlay:
+class FleetSimulation:
     """Many entries that call one service, each hearing of a home from its answers.
 
     Homes have a queue in order of arrival. Nothing here but the choice is the
@@ -88,8 +88,8 @@
         self.sample = Sampler(random.Random(6))
         self.whole = whole
         self.free = {e.instance: [0.0] * SLOTS for e in self.endpoints}
-        able = sum(SLOTS / each for each in self.speed.values())
-        self.rate, self.seconds = load * able, seconds
+        capacity = sum(SLOTS / each for each in self.speed.values())
+        self.rate, self.seconds = load * capacity, seconds
         self.times = []
         self.calls = Counter()
 
@@ -109,7 +109,7 @@
     def call(self, entry, now, number):
         drawn = self.endpoints
         if not self.whole:
-            drawn = self.sample.candidates(self.endpoints, self.endpoints, anything)
+            drawn = self.sample.candidates(self.endpoints, self.endpoints, always)
         chosen = entry.choose(ROUTE, drawn, lambda name: False, now, OBJECTIVE)
         entry.begin(chosen.incarnation)
         self.calls[chosen.instance] += 1
@@ -136,7 +136,7 @@
         # those that nobody has tried and then the fast ones, and calls queue there
         # beside idle ones. On time are 0.29 of the calls, with 2.6 times the mean at
         # the busiest home; among a few drawn 0.91, with 1.4 times the mean.
-        whole_on_time, whole_most = FleetPlay(whole=True).play()
-        on_time, most = FleetPlay(whole=False).play()
+        whole_on_time, whole_most = FleetSimulation(whole=True).play()
+        on_time, most = FleetSimulation(whole=False).play()
         self.assertTrue(on_time > 0.85 > whole_on_time, (on_time, whole_on_time))
         self.assertTrue(most < whole_most, (most, whole_most))
--- a/sequoiaspoke/tests/test_mesh_slots.py
+++ b/sequoiaspoke/tests/test_mesh_slots.py
@@ -34,8 +34,12 @@
         Whether it drops a call whose connection is closed; others run it to its end.
     """
 
-    def __init__(self, slots, drops, tells=True):
-        self.slots, self.drops, self.tells = slots, drops, tells
+    def __init__(self, slots, drops_cancelled, reports_load=True):
+        self.slots, self.drops_cancelled, self.reports_load = (
+            slots,
+            drops_cancelled,
+            reports_load,
+        )
         self.ends = {}
         self.resets = []
 
@@ -52,29 +56,31 @@
         return now + seconds
 
     def drop(self, key, now):
-        if self.drops:
+        if self.drops_cancelled:
             self.ends[key] = min(self.ends.get(key, now), now + 0.005)
 
     def load(self, now):
         running = self.running(now - 1e-9)
-        return Load(running, 0, self.slots) if self.tells else None
+        return Load(running, 0, self.slots) if self.reports_load else None
 
 
-class Play:
+class HomeSimulation:
     """A home that may be killed and started again beside a full upstream."""
 
-    def __init__(self, seed, slots=6, drops=True, careless=False, leaving=0.1):
+    def __init__(
+        self, seed, slots=6, drops_cancelled=True, unguarded=False, cancel_share=0.1
+    ):
         self.rng = random.Random(seed)
-        self.upstream = FullUpstream(slots, drops)
-        self.careless = careless
+        self.upstream = FullUpstream(slots, drops_cancelled)
+        self.unguarded = unguarded
         self.events = []
         self.count = 0
-        self.cancel_share = leaving
+        self.cancel_share = cancel_share
         self.start()
 
     def start(self):
         self.admission = Admission(self.upstream.slots)
-        self.admission.upstream_slots.has_answered = self.careless
+        self.admission.upstream_slots.has_answered = self.unguarded
         self.epoch = self.count
 
     def at(self, when, what, *arguments):
@@ -109,16 +115,16 @@
                 seconds *= 5
             end = self.upstream.take((ticket, arrival.idempotent), seconds, now)
             if end is None:
-                self.at(now + 0.001, self.lost, ticket, epoch)
+                self.at(now + 0.001, self.on_reset, ticket, epoch)
                 continue
             self.at(end, self.answered, ticket, epoch)
             if arrival.idempotent and self.rng.random() < self.cancel_share:
                 left = now + self.rng.uniform(0.0, seconds)
                 self.at(left, self.cancel, ticket, epoch)
 
-    def lost(self, now, ticket, epoch):
+    def on_reset(self, now, ticket, epoch):
         if epoch == self.epoch:
-            if not self.careless:
+            if not self.unguarded:
                 self.admission.record_reset(now)
             self.admission.finish(ticket, False, now)
             self.advance(now)
@@ -144,47 +150,50 @@
             self.upstream.drop(key, now)
         self.start()
 
-    def orders_lost(self):
+    def lost_calls(self):
         return sum(not idempotent for _, idempotent in self.upstream.resets)
 
 
 class FullUpstreamTests(TestCase):
-    def lost(self, **options):
+    def count_lost(self, **options):
         total = 0
         for seed in range(SEEDS):
-            play = Play(seed, **options)
-            play.run()
-            total += play.orders_lost()
+            simulation = HomeSimulation(seed, **options)
+            simulation.run()
+            total += simulation.lost_calls()
         return total
 
     def test_no_order_is_lost_to_an_upstream_that_the_home_filled_itself(self):
         # Calls come faster than they are served, callers leave, and the node is killed
         # and started again beside its upstream, which drops what it ran.
-        self.assertEqual(self.lost(), 0)
+        self.assertEqual(self.count_lost(), 0)
 
     def test_no_order_meets_the_calls_of_a_node_that_was_killed(self):
         # The upstream does not notice that the node was killed and runs its calls to
         # their end. The new process knows nothing of them; it sent a full load beside
         # them, and its first orders were reset, which nobody may send again.
-        self.assertEqual(self.lost(drops=False, leaving=0.0), 0)
-        self.assertTrue(self.lost(drops=False, leaving=0.0, careless=True) > SEEDS)
+        self.assertEqual(self.count_lost(drops_cancelled=False, cancel_share=0.0), 0)
+        self.assertTrue(
+            self.count_lost(drops_cancelled=False, cancel_share=0.0, unguarded=True)
+            > SEEDS
+        )
 
     def test_no_order_meets_cancelled_calls_that_run_on(self):
         # One read in ten is given up by its caller, and the upstream runs it to its end
         # all the same. Orders that were sent into its slot were reset.
-        self.assertEqual(self.lost(drops=False), 0)
-        self.assertTrue(self.lost(drops=False, careless=True) > SEEDS)
+        self.assertEqual(self.count_lost(drops_cancelled=False), 0)
+        self.assertTrue(self.count_lost(drops_cancelled=False, unguarded=True) > SEEDS)
 
     def test_the_slots_may_change(self):
-        play = Play(3)
-        play.at(1.0, lambda now: self.shrink(play, 3))
-        play.run()
-        self.assertEqual(play.orders_lost(), 0)
+        simulation = HomeSimulation(3)
+        simulation.at(1.0, lambda now: self.shrink(simulation, 3))
+        simulation.run()
+        self.assertEqual(simulation.lost_calls(), 0)
 
-    def shrink(self, play, slots):
+    def shrink(self, simulation, slots):
         """Let the upstream tell fewer slots; what runs there ends first."""
-        play.admission.upstream_slots.published = slots
-        play.at(1.5, lambda now: setattr(play.upstream, "slots", slots))
+        simulation.admission.upstream_slots.published = slots
+        simulation.at(1.5, lambda now: setattr(simulation.upstream, "slots", slots))
 
 
 class SlotsTests(TestCase):
@@ -259,13 +268,13 @@
     def test_cancelled_calls_hold_their_slots_until_an_answer_tells(self):
         # Two callers have left. The upstream drops their calls as it notices the end of
         # their connections, or runs them on; only its next answer shows which.
-        for beside, free in ((0, 3), (2, 1)):
+        for still_running, free in ((0, 3), (2, 1)):
             slots = Slots(4)
             slots.record_answer(Load(1, 0, 4), 1, 0.5)
             slots.abandon(1.0)
             slots.abandon(1.0)
             self.assertEqual(slots.free(1, 1.0 + CANCEL_SECONDS), 1)
-            slots.record_answer(Load(1 + beside, 0, 4), 1, 1.1)
+            slots.record_answer(Load(1 + still_running, 0, 4), 1, 1.1)
             self.assertEqual(slots.free(1, 1.1), free)
 
     def test_nobody_waits_for_an_answer_where_nothing_runs(self):
