--- a/sequoiaspoke/core/mesh/admission.py
+++ b/sequoiaspoke/core/mesh/admission.py
@@ -1,15 +1,15 @@
-"""Admit calls to the upstream beside this node.
-
-The upstream runs so many calls at once and may leave without a word those that
-it cannot queue; what waits inside it is served in order of arrival. So no more
-are sent than it runs, and the rest waits here, by priority and then by arrival. A
-call that could not finish in time is refused as not run at once, so that its caller
-can go elsewhere while there is time.
-
-Under a standing overload a queue in order of arrival makes every answer late: each
-call waits the whole queue's length. Among calls of one priority those that can
-still be answered on time therefore go first, and no more late ones are let wait than
-keep every slot busy; the others are told at once when to come back.
+"""Admission control for the upstream beside this node.
+
+An upstream runs a limited number of calls at once. It may drop calls that it cannot
+queue without an answer, and its own queue is first in, first out. The node therefore
+sends no more calls than the upstream has slots and queues the rest itself, by priority
+and then by arrival. A call that could not finish before its deadline is refused at
+once as not run, so that its caller has time to try another endpoint.
+
+Under sustained overload a first-in, first-out queue makes every answer late, as each
+call waits for the whole queue. Among calls of one priority, those that can still meet
+their objective therefore go first. Only as many late calls are queued as keep all
+slots busy; further ones are refused at once with a Retry-After.
 """
 
 from __future__ import annotations
@@ -21,36 +21,36 @@
 from sequoiaspoke.core.mesh.durations import Durations
 from sequoiaspoke.core.mesh.slots import Load, Slots
 
-# Calls waiting for one slot, at most; beyond, a call would wait longer than any
-# objective allows even for the shortest work.
+# Maximum number of queued calls per slot. In a longer queue even the shortest calls
+# would miss every objective.
 QUEUE_PER_SLOT = 6
-# Part of the expected time that must be left when a call is handed over; work varies,
-# and a call with half of its mean left still ends in time one time in ten.
+# Share of the expected duration that must remain before the deadline for a call to be
+# sent. Durations vary: with half of the mean left, one call in ten still ends in time.
 MIN_TIME_LEFT = 0.5
-# Part of the expected time within which most calls end; work varies by a third to a
-# half of its mean.
+# Multiple of the expected duration within which most calls end; durations vary by a
+# third to a half of their mean.
 DURATION_MARGIN = 1.3
-# Least Retry-After of a refusal, in seconds.
+# Minimum Retry-After of a refusal, in seconds.
 MIN_RETRY_AFTER = 0.05
 
 
-# Places in the queue between two priorities, and how far ahead of its own a nested call
-# goes: before the fresh calls of the next more urgent one.
+# Ranks between two priorities, and the ranks that a nested call moves ahead. A nested
+# call goes before other calls of the next more urgent priority.
 RANK_STEP, NESTED_AHEAD = 2, 3
 
 
 def queue_rank(priority: int, nested: bool) -> int:
-    """Return the rank of a call among those that wait; the lowest goes first.
+    """Return the rank of a call in the queue; the lowest goes first.
 
-    A nested call takes tens of milliseconds of a slot; refused, it fails its parent and
-    all that the parent's upstream has done so far. Behind fresh calls of several times
-    its length it would wait until its own short time is over.
+    A nested call takes tens of milliseconds, but its refusal fails the parent call and
+    wastes the work done for it so far. Queued behind other calls several times as long,
+    it would exceed its own short deadline.
     """
     return RANK_STEP * priority - (NESTED_AHEAD if nested else 0)
 
 
 class RefusalReason(StrEnum):
-    """Why a call was refused; each has a counter and is told to the entry."""
+    """Reason of a refusal; each has a counter and is reported to the entry."""
 
     LEAVING = "leaving"
     INSTANCE_LEFT = "instance-left"
@@ -64,20 +64,20 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A call that asks for a slot.
+    """A call that requests a slot.
 
     Attributes
     ----------
     ticket : object
-        What the caller of this class knows the call by.
+        Identifier of the call, chosen by the user of this class.
     route : str
-        Name under which durations are measured.
+        Name of the route, by which durations are measured.
     rank : int
-        Its place among the calls that wait; the lowest goes first.
+        Rank in the queue; the lowest goes first.
     on_time : float
-        Until when an answer is on time.
+        Time until which an answer meets the objective.
     deadline : float
-        When the answer has no use any more.
+        Time after which an answer is useless.
     idempotent : bool
         Whether the call may run more than once.
     """
@@ -92,12 +92,12 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """A call that is not run.
+    """The refusal of a call, which has not run.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which there should be room.
+        Seconds after which a slot should be free.
     """
 
     arrival: Arrival
@@ -106,13 +106,13 @@
 
 
 class Admission:
-    """The slots of one upstream and the calls that wait for them.
+    """The slots of one upstream and the queue of calls for them.
 
     Attributes
     ----------
     suspects : set of object
-        Calls, waiting or running, whose request may have crashed an upstream. One of
-        them runs at a time: if the upstream crashes again it is known which it was.
+        Tickets of queued or running calls whose request may have crashed an upstream.
+        They run one at a time, so that another crash identifies the request.
     """
 
     def __init__(self, slots: int) -> None:
@@ -124,39 +124,39 @@
 
     @property
     def slots(self) -> int:
-        """Return how many calls the upstream runs at once."""
+        """Return the number of calls that the upstream runs at once."""
         return self.upstream_slots.count
 
     def record_answer(self, load: Load | None, now: float) -> None:
-        """Take an answer of the upstream, whose call still counts as running."""
+        """Record an answer; its call still counts as running."""
         self.upstream_slots.record_answer(load, self.running, now)
 
     def record_refusal(self, load: Load | None, now: float) -> None:
-        """Take a refusal by the upstream, whose call still counts as running."""
+        """Record a refusal by the upstream; its call still counts as running."""
         self.upstream_slots.record_refusal(load, self.running - 1, now)
 
     def record_reset(self, now: float) -> None:
-        """Take a reset in place of an answer, whose call still counts as running."""
+        """Record a connection reset; its call still counts as running."""
         self.upstream_slots.record_reset(self.running, now)
 
     def free_slots(self, now: float) -> int:
-        """Return how many more calls the upstream can run."""
+        """Return the number of further calls that the upstream can run."""
         free = self.upstream_slots.free(self.running, now)
         cold_limit = self.cold_start.remaining(now)
         return free if cold_limit is None else min(free, cold_limit)
 
     @property
     def running(self) -> int:
-        """Return how many calls run."""
+        """Return the number of running calls."""
         return len(self.durations.running)
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of queued calls."""
         return len(self.queue)
 
     def arrive(self, arrival: Arrival, now: float) -> Refused | None:
-        """Queue a call; return the one that is refused for it, if any."""
+        """Queue a call; return the refusal of this or another call, if any."""
         if self.would_be_reset(arrival, now):
             return self.refuse_full(arrival)
         wait = max(self.queue_wait(arrival, now), self.suspect_wait(arrival, now))
@@ -173,9 +173,9 @@
         return refused
 
     def make_room(self, arrival: Arrival, wait: float, now: float) -> Refused | None:
-        """Return the call for which a full queue has no room, the new one or another.
+        """Refuse the last call in order, the new one included, if the queue is full.
 
-        A queue full of patient calls would otherwise refuse the urgent ones, which
+        Otherwise a queue full of low-priority calls would refuse urgent calls that
         would be served next.
         """
         if self.waiting < self.slots * QUEUE_PER_SLOT:
@@ -188,24 +188,24 @@
         return Refused(last, RefusalReason.QUEUE_FULL, max(wait, MIN_RETRY_AFTER))
 
     def min_duration(self, arrival: Arrival, now: float) -> float:
-        """Return the seconds that a call needs at least."""
+        """Return the minimum duration of a call in seconds."""
         return MIN_TIME_LEFT * self.durations.expected(arrival.route, now)
 
     def queue_wait(self, arrival: Arrival, now: float) -> float:
-        """Return the seconds until a new call would get a slot."""
+        """Return the seconds that a new call would wait for a slot."""
         return self.wait_for_rank(arrival.rank, now)
 
     def suspect_wait(self, arrival: Arrival, now: float) -> float:
-        """Return the seconds until the suspects before a new call have run."""
+        """Return the seconds until the suspects ahead of a new call have run."""
         if arrival.ticket not in self.suspects:
             return 0.0
         before = len(self.suspects) - 1
         return before * self.durations.expected(arrival.route, now)
 
     def wait_for_rank(self, rank: int, now: float) -> float:
-        """Return the seconds until a new call of a priority would get a slot.
+        """Return the seconds that a new call of a rank would wait for a slot.
 
-        With all slots busy one is free after a mean call divided by the slots.
+        With all slots busy, one is free after the mean duration divided by the slots.
         """
         if self.free_slots(now) and not self.queue:
             return 0.0
@@ -218,7 +218,7 @@
         return max(work / max(1, self.slots), self.cold_start.wait(ahead, now))
 
     def next(self, now: float) -> tuple[Arrival | None, list[Refused]]:
-        """Return the call to hand over now, and those it is too late for."""
+        """Return the call to send now, if any, and the refusals of overdue calls."""
         refused = self.drop_overdue(now)
         if not self.queue or not self.free_slots(now):
             return None, refused
@@ -230,7 +230,7 @@
         ]
         if not ready:
             return None, refused
-        # Of equals the first in the order of arrival.
+        # Among equal keys, min() returns the earliest arrival.
         arrival = min(ready, key=lambda each: self.sort_key(each, now))
         del self.queue[arrival.ticket]
         self.durations.begin(arrival.ticket, arrival.route, now)
@@ -238,22 +238,22 @@
         return arrival, refused
 
     def may_run_now(self, arrival: Arrival) -> bool:
-        """Return whether a call may run beside those that do."""
+        """Return whether a call may run; only one suspect runs at a time."""
         if arrival.ticket not in self.suspects:
             return True
         return self.suspects.isdisjoint(self.durations.running)
 
     def sort_key(self, arrival: Arrival, now: float) -> tuple[int, bool]:
-        """Return what orders the calls that wait."""
+        """Return the sort key of a queued call."""
         return (arrival.rank, self.would_be_late(arrival, now))
 
     def would_be_late(self, arrival: Arrival, begin: float) -> bool:
-        """Return whether a call that begins at some time would be late."""
+        """Return whether a call started at a time would miss its objective."""
         expected = self.durations.expected(arrival.route, begin)
         return begin + DURATION_MARGIN * expected > arrival.on_time
 
     def drop_overdue(self, now: float) -> list[Refused]:
-        """Take out the waiting calls that could not be answered any more."""
+        """Remove and refuse queued calls that can no longer be answered."""
         refused = []
         for arrival in self.queue.values():
             if self.would_be_reset(arrival, now):
@@ -266,35 +266,35 @@
         return refused
 
     def would_be_reset(self, arrival: Arrival, now: float) -> bool:
-        """Return whether a call is an order and the upstream resets what comes."""
+        """Return whether the upstream would reset this non-idempotent call."""
         return not arrival.idempotent and self.upstream_slots.resetting(now)
 
     def refuse_full(self, arrival: Arrival) -> Refused:
-        """Return the refusal of an order, until a read tells of a free slot."""
+        """Refuse a non-idempotent call because the upstream is full."""
         wait = max(self.durations.overall, MIN_RETRY_AFTER)
         return Refused(arrival, RefusalReason.UPSTREAM_FULL, wait)
 
     def cancel(self, ticket: object) -> bool:
-        """Take a call out of the queue; return whether it waited there."""
+        """Remove a call from the queue; return whether it was queued."""
         return self.queue.pop(ticket, None) is not None
 
     def send(self, ticket: object, now: float) -> None:
-        """Note that a call goes out to the upstream."""
+        """Record that a call is sent to the upstream."""
         self.cold_start.send(ticket, now)
 
     def finish(self, ticket: object, answered: bool, now: float) -> None:
-        """Free a slot; measure the call if it was answered."""
+        """Free the slot of a call; record its duration if it was answered."""
         self.cold_start.end(ticket)
         self.durations.end(ticket, answered, now)
 
     def abandon(self, ticket: object, now: float) -> None:
-        """Note that a running call was cancelled; its slot may not be free yet."""
+        """Record a cancelled running call; its slot may still be occupied."""
         self.upstream_slots.abandon(now)
         self.cold_start.end(ticket)
         self.durations.end(ticket, False, now)
 
     def restarted(self) -> None:
-        """Note that the upstream started anew, cold and with nothing to do."""
+        """Reset the state after a restart of the upstream."""
         self.durations.reset()
         self.upstream_slots.restarted()
         self.cold_start.restarted()
--- a/sequoiaspoke/core/mesh/balancer.py
+++ b/sequoiaspoke/core/mesh/balancer.py
@@ -1,10 +1,10 @@
-"""Choose the endpoint of a call by the time in which it would answer.
+"""Choose the endpoint of a call by its expected response time.
 
-The load this answers: upstreams of one service differ in speed by a factor of two
-and more, new ones are slow for seconds, and one may turn slow or fail part of its
-calls while its health check passes. Taking turns sends each the same and lets the
-slowest decide how late answers are. Links between zones are dear, so an
-endpoint of the own zone is taken unless its answer is likelier to be late.
+Upstreams of one service differ in speed by a factor of two and more, new ones are slow
+for seconds, and one may become slow or fail part of its calls while its health check
+passes. Round robin would send the same load to each, so that the slowest one
+determines the latency. Traffic between zones is costly, so an endpoint of the local
+zone is preferred unless its answer is more likely to be late.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
 
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
 
-# Weight of the newest measurement of a route over all endpoints.
+# Weight of the newest measurement in a route's averages over all endpoints.
 NEWEST_WEIGHT = 0.05
-# How much slower a cold endpoint is taken to be before it was measured.
+# Factor by which an unmeasured cold endpoint is assumed to be slower.
 COLD_FACTOR = 2.0
-# Seconds to another zone and back, with the two nodes' own time.
+# Round trip to another zone in seconds, including the processing in both nodes.
 CROSS_ZONE_SECONDS = 0.004
-# Least share of success by which an expected time is divided.
+# Minimum success rate by which an expected time is divided.
 MIN_SUCCESS_RATE = 0.1
-# Weight of a failure: after three in a row an endpoint is expected to fail two of
-# three calls, and takes three times its time.
+# Weight of a failure. After three in a row the expected failure rate is two thirds and
+# the expected time three times as long.
 FAILURE_WEIGHT = 0.3
-# Seconds after which half of the doubt about an endpoint that failed is gone, so that
-# one that has recovered is tried again.
+# Half-life of an endpoint's failure rate in seconds, so that a recovered one is tried
+# again.
 FAILURE_HALF_LIFE = 2.0
-# Seconds after which news of a home's queue, of its speed, and of the calls that last
-# too long there count for half.
+# Half-lives in seconds of a home's reported queue wait, call duration and slowdown.
 QUEUE_HALF_LIFE, SPEED_HALF_LIFE, SLOWDOWN_HALF_LIFE = 0.5, 3.0, 1.0
-# How steeply the chance to be late rises round the objective: an answer expected in
-# half of it is late one time in 17, in three quarters one in four.
+# Steepness of the probability of a late answer around the objective. An answer expected
+# in half of the time is late once in 17 times, in three quarters once in four.
 STEEPNESS = 4
-# After how many times the mean of its route a call is tried at a second endpoint, and
-# after how many seconds at least. Work varies by a half of its mean; beyond three times
-# lie the one call in a hundred that is long, and those whose upstream turned slow.
+# Multiple of the route's mean duration after which a call is hedged at a second
+# endpoint, and the minimum delay in seconds. Durations vary by half of their mean;
+# beyond three times are the one percent of long calls, and those whose upstream has
+# become slow.
 HEDGE_FACTOR, MIN_HEDGE_DELAY = 3.0, 0.1
-# By how much less likely to be late an endpoint in another zone must be, for each
-# thousand bytes that go there and back. Bytes between zones are paid for;
-# a call of two thousand bytes is sent away to spare one late answer in ten.
+# Required reduction of the probability of a late answer per 1000 bytes sent to another
+# zone and back, as traffic between zones is charged. A call of 2000 bytes leaves its
+# zone to avoid one late answer in ten.
 CROSS_ZONE_MARGIN = 0.04
-# Bytes of the heads of a call and its answer on a link.
+# Bytes of the headers of a call and its answer on a link.
 HEADER_BYTES = 500
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A home's word on the load of its upstream.
+    """Load of an upstream, reported by its home with an answer.
 
     Attributes
     ----------
-    strain : float
-        How much longer than expected the running calls last, from 1.
+    slowdown : float
+        Ratio of the running calls' duration to the expected one, at least 1.
     expected : float
-        Seconds that a call of the route takes; 0 if the news is of no route.
+        Expected duration of a call of the route in seconds; 0 without a route.
     wait : float
-        Seconds until another call of the route would get a slot.
+        Seconds that another call of the route would wait for a slot.
     """
 
     slowdown: float = 1.0
@@ -72,26 +72,26 @@
 
 @dataclass(frozen=True)
 class ReceivedReport:
-    """News of a route at an endpoint, and when it came."""
+    """A load report for a route at an endpoint, and when it was received."""
 
     report: LoadReport
     received_at: float
 
     def weight(self, half_life: float, now: float) -> float:
-        """Return how much the news still counts, from 1 down to 0."""
+        """Return the weight of the report, which decays from 1 to 0."""
         return 0.5 ** ((now - self.received_at) / half_life)
 
 
 @dataclass
 class EndpointStats:
-    """What is known of one endpoint.
+    """Statistics of one endpoint.
 
     Attributes
     ----------
-    mine : int
-        Calls of this node under way there.
-    by_route : dict of str to Told
-        What the home said with the answers to calls of a route.
+    in_flight : int
+        Calls of this node in flight there.
+    reports : dict of str to ReceivedReport
+        Latest load report for each route.
     """
 
     in_flight: int = 0
@@ -102,17 +102,17 @@
     reports: dict[str, ReceivedReport] = field(default_factory=dict)
 
     def current_failure_rate(self, now: float) -> float:
-        """Return the share of failures to expect, forgotten with time."""
+        """Return the expected failure rate, which decays with time."""
         return self.failure_rate * 0.5 ** ((now - self.failed_at) / FAILURE_HALF_LIFE)
 
     def current_slowdown(self, now: float) -> float:
-        """Return by how much its calls last longer than was told, from 1."""
+        """Return the reported slowdown, which decays to 1 with time."""
         weight = 0.5 ** ((now - self.reported_at) / SLOWDOWN_HALF_LIFE)
         return 1 + (self.slowdown - 1) * weight
 
 
 class Balancer:
-    """Measure endpoints and choose among them."""
+    """Collects statistics of endpoints and chooses among them."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
@@ -121,24 +121,24 @@
         self.mean_bytes: dict[str, float] = {}
 
     def stats_of(self, incarnation: Incarnation) -> EndpointStats:
-        """Return what is known of an endpoint."""
+        """Return the statistics of an endpoint."""
         stats = self.stats.get(incarnation)
         if stats is None:
             stats = self.stats[incarnation] = EndpointStats()
         return stats
 
     def begin(self, incarnation: Incarnation) -> None:
-        """Note a call sent there."""
+        """Record a call sent to an endpoint."""
         self.stats_of(incarnation).in_flight += 1
 
     def end(self, incarnation: Incarnation) -> None:
-        """Note that a call is over, whatever came of it."""
+        """Record the end of a call, with any outcome."""
         self.stats_of(incarnation).in_flight -= 1
 
     def record_load(
         self, incarnation: Incarnation, route: str, report: LoadReport, now: float
     ) -> None:
-        """Take a home's word on its upstream."""
+        """Record a load report of an endpoint's home."""
         stats = self.stats_of(incarnation)
         stats.slowdown, stats.reported_at = report.slowdown, now
         if route:
@@ -147,12 +147,12 @@
     def record_answer(
         self, route: str, incarnation: Incarnation, seconds: float, size: int
     ) -> None:
-        """Measure a call that its upstream finished.
+        """Record a call that was answered.
 
         Parameters
         ----------
         size : int
-            Bytes of the request's body and the answer's.
+            Bytes of the bodies of request and answer.
         """
         usual = self.mean_bytes.get(route, size)
         self.mean_bytes[route] = usual + NEWEST_WEIGHT * (size - usual)
@@ -161,7 +161,7 @@
         self.stats_of(incarnation).failure_rate *= 1 - FAILURE_WEIGHT / 2
 
     def record_failure(self, incarnation: Incarnation, now: float) -> None:
-        """Note a call that its endpoint turned away or broke off."""
+        """Record a call that its endpoint refused or broke off."""
         stats = self.stats_of(incarnation)
         rate = stats.current_failure_rate(now)
         stats.failure_rate = rate + FAILURE_WEIGHT * (1 - rate)
@@ -170,7 +170,7 @@
     def service_time(
         self, route: str, stats: EndpointStats, cold: bool, now: float
     ) -> float:
-        """Return the seconds that a call of a route takes at an endpoint."""
+        """Return the expected duration of a call at an endpoint in seconds."""
         usual = self.mean_seconds.get(route, INITIAL_ESTIMATE)
         received = stats.reports.get(route)
         if received is None:
@@ -181,7 +181,7 @@
         return usual * stats.current_slowdown(now)
 
     def hedge_delay(self, route: str, endpoint: Endpoint, now: float) -> float:
-        """Return the seconds after which a call is tried at a second endpoint."""
+        """Return the seconds after which a call is hedged at a second endpoint."""
         usual = self.mean_seconds.get(route, INITIAL_ESTIMATE)
         stats = self.stats_of(endpoint.incarnation)
         wait = self.wait(route, endpoint, stats, usual, now)
@@ -195,7 +195,7 @@
         service: float,
         now: float,
     ) -> float:
-        """Return the seconds until a call would get a slot of an endpoint."""
+        """Return the seconds that a call would wait for a slot of an endpoint."""
         slots = max(1, endpoint.slots)
         wait = max(0, stats.in_flight + 1 - slots) * service / slots
         received = stats.reports.get(route)
@@ -211,7 +211,7 @@
         cold: bool,
         now: float,
     ) -> float:
-        """Return the seconds in which an endpoint would answer a call."""
+        """Return the expected response time of an endpoint in seconds."""
         service = self.service_time(route, stats, cold, now)
         wait = self.wait(route, endpoint, stats, service, now)
         success = max(MIN_SUCCESS_RATE, 1 - stats.current_failure_rate(now))
@@ -230,8 +230,8 @@
 
         Parameters
         ----------
-        left : float
-            Seconds until the answer counts as late.
+        time_left : float
+            Seconds until the objective, after which the answer is late.
         """
         best, best_time = None, float("inf")
         local, local_time = None, float("inf")
@@ -253,16 +253,16 @@
         return local if gain <= self.cross_zone_margin(route.name) else best
 
     def cross_zone_margin(self, route: str) -> float:
-        """Return by how much less likely to be late another zone must be."""
+        """Return the required gain in the probability of a late answer."""
         return (
             CROSS_ZONE_MARGIN * (HEADER_BYTES + self.mean_bytes.get(route, 0.0)) / 1000
         )
 
     def needs_probe(self, endpoint: Endpoint, stats: EndpointStats) -> bool:
-        """Return whether a first call should tell how an endpoint does.
+        """Return whether an endpoint has no statistics yet and should get a first call.
 
-        An upstream that has just joined is expected to take the usual time, so a node
-        whose present choice is faster than usual would never send it a call.
+        A new upstream is assumed to take the mean time, so a node whose current choice
+        is faster than the mean would never send it a call.
         """
         local = endpoint.zone == self.zone
         return (
@@ -273,16 +273,16 @@
         )
 
     def retain(self, incarnations: Iterable[Incarnation]) -> None:
-        """Forget the starts of upstreams that have ended."""
+        """Remove statistics of other incarnations without calls in flight."""
         for incarnation in self.stats.keys() - set(incarnations):
             if self.stats[incarnation].in_flight == 0:
                 del self.stats[incarnation]
 
 
 def late_probability(expected: float, time_left: float) -> float:
-    """Return how likely an answer expected in some seconds is to be late."""
+    """Return the probability that an answer is late."""
     if time_left <= 0:
-        # All would be late: then the sooner the better, and near is not enough.
+        # All answers would be late: prefer the fastest endpoint, of whichever zone.
         return min(1.0, expected)
     ratio = min(expected / time_left, 10.0)
     return ratio**STEEPNESS / (1 + ratio**STEEPNESS)
--- a/sequoiaspoke/core/mesh/durations.py
+++ b/sequoiaspoke/core/mesh/durations.py
@@ -1,27 +1,29 @@
-"""Estimate how long calls take at one upstream, now.
+"""Estimate the current duration of calls at one upstream.
 
-An upstream that turns slow is known by the calls that it answers late, and sooner by
-those that it has not answered yet. An estimate that only ever rises would keep calls
-away from an upstream that has recovered, and with them the news of it: so
-what was seen loses its weight with time.
+An upstream that becomes slow shows in late answers, and earlier in calls that are still
+unanswered. A high estimate keeps calls away from the upstream, and without calls its
+recovery could not be measured; estimates therefore decay with time.
 """
 
 from __future__ import annotations
 
-# Weight of the newest measurement: a change shows after some seven calls, less than
-# half a second of traffic, and one slow call in a hundred moves little.
+# Weight of the newest measurement. A change shows after about seven calls, which is
+# less than half a second of traffic, while one slow call in a hundred has little
+# effect.
 NEWEST_WEIGHT = 0.12
-# Seconds without a measurement after which an estimate halves.
+# Seconds without a measurement after which an estimate starts to decay, and its
+# half-life.
 STALE_SECONDS = 4.0
-# Guess of the seconds of a call before the first was measured.
+# Assumed duration in seconds before the first measurement.
 INITIAL_ESTIMATE = 0.1
-# A call that lasts so many times as long as expected tells that its upstream is slow;
-# work varies by a third and more, one call in a hundred takes five times as long.
+# Ratio to the expected duration from which running calls show that their upstream is
+# slow. Durations vary by a third and more; one call in a hundred takes five times as
+# long.
 SLOWDOWN_THRESHOLD = 1.5
 
 
 class Durations:
-    """The calls of one upstream, measured by their route."""
+    """Running calls and measured durations of one upstream, by route."""
 
     def __init__(self) -> None:
         self.mean: dict[str, tuple[float, int, float]] = {}
@@ -29,11 +31,11 @@
         self.running: dict[object, tuple[str, float]] = {}
 
     def begin(self, ticket: object, route: str, now: float) -> None:
-        """Note that a call runs."""
+        """Record the start of a call."""
         self.running[ticket] = (route, now)
 
     def end(self, ticket: object, answered: bool, now: float) -> None:
-        """Note that a call is over, and measure it if it was answered."""
+        """Record the end of a call, and its duration if it was answered."""
         route, begun = self.running.pop(ticket)
         if not answered:
             return
@@ -44,12 +46,12 @@
         self.overall += NEWEST_WEIGHT * (seconds - self.overall)
 
     def reset(self) -> None:
-        """Forget what was measured; the calls under way go on."""
+        """Discard all measurements, but keep the running calls."""
         self.mean.clear()
         self.overall = INITIAL_ESTIMATE
 
     def expected(self, route: str, now: float) -> float:
-        """Return the seconds that a call of a route takes."""
+        """Return the expected duration of a call of a route in seconds."""
         mean, _, measured = self.mean.get(route, (self.overall, 0, now))
         age = now - measured
         if age > STALE_SECONDS:
@@ -57,14 +59,14 @@
         return mean
 
     def mean_running(self, now: float) -> float:
-        """Return the seconds that a running call takes on average."""
+        """Return the mean expected duration of the running calls in seconds."""
         if not self.running:
             return 0.0
         total = sum(self.expected(route, now) for route, _ in self.running.values())
         return total / len(self.running)
 
     def slowdown(self, now: float) -> float:
-        """Return how much longer than expected the running calls last, at least 1."""
+        """Return the running calls' ratio to the expected duration, at least 1."""
         if not self.running:
             return 1.0
         total = 0.0
--- a/sequoiaspoke/core/mesh/ledger.py
+++ b/sequoiaspoke/core/mesh/ledger.py
@@ -1,11 +1,11 @@
-"""Remember the calls of other nodes, so that asking again never runs one twice.
-
-A link between nodes breaks while a call runs at its home. The entry cannot know
-whether the call arrived, is running or was answered, and a call that may run once
-only would be lost. So it opens a new link to the same incarnation and sends the
-call again under the same number: a running one is joined, a finished one gives
-its answer, and one that never arrived runs now. The old link is closed by
-then and what was still unread on it is dropped.
+"""Record the calls of other nodes, so that a resent call never runs twice.
+
+If a link between nodes breaks while a call runs at its home, the entry does not know
+whether the call arrived, is running or was answered, and a non-idempotent call would be
+lost. The entry therefore opens a new link to the same incarnation of the home and sends
+the call again under the same number. The home joins a running call, returns the answer
+of a finished one, and runs one that never arrived. The old link is closed by then, and
+unread data on it is dropped.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-# Seconds for which a finished call is known. Above the longest time in which an entry
-# finds a dead link and opens another.
+# Seconds for which a finished call is kept. Longer than an entry takes at most to
+# detect a dead link and open another.
 RETENTION_SECONDS = 10.0
-# Bytes of kept answers, at most; an older one is dropped first and then told as
-# unknown. Keeps a node small when answers are large.
+# Maximum size of all kept answers in bytes, which limits the node's memory. The oldest
+# are dropped first; the outcome of their calls is then reported as unknown.
 MAX_ANSWER_BYTES = 2 << 20
 
 
 @dataclass
 class CallRecord:
-    """A call that arrived here.
+    """A call that arrived at this home.
 
     Attributes
     ----------
     outcome : object or None
-        What came of it; None while it waits or runs, or after it was dropped.
+        Outcome of the call; None while it is queued or runs, or after it was dropped.
     """
 
     finished: float | None = None
@@ -40,7 +40,7 @@
 
 
 class Ledger:
-    """The calls that arrived at this home, by their entry's number for them."""
+    """Calls that arrived at this home, by the number their entry gave them."""
 
     def __init__(self) -> None:
         self.calls: dict[Hashable, CallRecord] = {}
@@ -48,15 +48,15 @@
         self.bytes = 0
 
     def find(self, key: Hashable) -> CallRecord | None:
-        """Return what is known of a call."""
+        """Return the record of a call, if any."""
         return self.calls.get(key)
 
     def begin(self, key: Hashable) -> None:
-        """Note a call that arrived for the first time."""
+        """Record a call that arrived for the first time."""
         self.calls[key] = CallRecord()
 
     def finish(self, key: Hashable, outcome: Any, size: int, now: float) -> None:
-        """Keep what came of a call for a while."""
+        """Record the outcome of a call."""
         record = self.calls.get(key)
         if record is None:
             return
@@ -67,7 +67,7 @@
             self.drop_oldest_answers()
 
     def drop_oldest_answers(self) -> None:
-        """Drop the oldest answers, but not that their calls have run."""
+        """Drop the oldest answers, but keep the records of their calls."""
         for key in self.finish_times:
             if self.bytes <= MAX_ANSWER_BYTES:
                 return
@@ -76,7 +76,7 @@
             record.outcome, record.size = None, 0
 
     def expire(self, now: float) -> None:
-        """Forget the calls that finished long ago."""
+        """Remove calls that finished more than RETENTION_SECONDS ago."""
         while self.finish_times:
             key, finished = next(iter(self.finish_times.items()))
             if finished + RETENTION_SECONDS > now:
--- a/sequoiaspoke/core/mesh/model.py
+++ b/sequoiaspoke/core/mesh/model.py
@@ -1,4 +1,4 @@
-"""What a sidecar acts on: routes, services, endpoints and the callers' limits."""
+"""Data model of a sidecar: routes, services, endpoints and caller limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """What holds for the calls to one host and path prefix.
+    """Configuration of the calls to one host and path prefix.
 
     Attributes
     ----------
@@ -25,9 +25,9 @@
     objective : float
         Seconds within which an answer is on time.
     priority : int
-        Rank among the calls of a service; 0 goes first.
+        Priority among the calls of a service; 0 is the highest.
     attempts : int
-        Targets to which one call may be sent, at most.
+        Maximum number of targets to which one call may be sent.
     regions : frozenset of str
         Regions in which a call may run and to which its body may be sent; all if empty.
     """
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send and how long it may take, in bytes and seconds."""
+    """Limits of what a caller may send, in bytes, and of its time, in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 64 << 20
@@ -56,16 +56,16 @@
 
 @dataclass(frozen=True)
 class Service:
-    """What holds for the upstreams of a service.
+    """Configuration of a service and its upstreams.
 
     Attributes
     ----------
     health_path : str
-        Where an upstream tells whether it is well and how long it stays cold.
+        Path at which an upstream reports its health and remaining cold time.
     cold_rate : float
-        Calls a second that a cold upstream bears; 0 if the operators set no bound.
+        Calls per second that a cold upstream sustains; 0 if not limited.
     cold_seconds : float
-        How long an upstream stays cold after its start.
+        Seconds for which an upstream stays cold after its start.
     """
 
     name: str
@@ -76,12 +76,12 @@
 
 @dataclass(frozen=True)
 class MeshConfig:
-    """One accepted version of the operators' intent, whole.
+    """One accepted version of the complete configuration.
 
     Attributes
     ----------
     services : dict of str to Service
-        By name.
+        Services by name.
     """
 
     version: int
@@ -94,16 +94,16 @@
 class Incarnation:
     """One start of an upstream.
 
-    An upstream may start again under the name that it had. What was learnt of the
-    start before, its leaving included, says nothing of the later one.
+    An upstream may restart under the same name. Information about an earlier
+    incarnation, such as that it is leaving, does not apply to a later one.
 
     Attributes
     ----------
     instance : str
-        Name of the upstream, which its next start may bear too.
+        Name of the upstream, which a later incarnation may have too.
     born : int
-        Unix milliseconds of the start by the upstream's clock; 0 if it told none. It
-        is only compared with that of other starts of the same name.
+        Unix milliseconds of the start by the upstream's clock; 0 if not reported. It is
+        only compared with that of other incarnations of the same name.
     """
 
     instance: str
@@ -117,15 +117,15 @@
     Attributes
     ----------
     host, port : str, int
-        Where the upstream listens, reachable from its own VM only.
+        Address of the upstream, reachable only from its own VM.
     slots : int
-        Calls that the upstream runs at the same time.
+        Number of calls that the upstream runs at the same time.
     draining : bool
         Whether it is about to leave and takes no new calls.
     cold_seconds : float
-        How much longer it stays slow after its start, when this was published.
+        Remaining cold time when the entry was published.
     born : int
-        Unix milliseconds of this start.
+        Unix milliseconds of the start.
     """
 
     instance: str
@@ -140,7 +140,7 @@
 
     @cached_property
     def incarnation(self) -> Incarnation:
-        """Return which start of which upstream this is."""
+        """Return the incarnation of the upstream."""
         return Incarnation(self.instance, self.born)
 
 
@@ -153,7 +153,7 @@
     revision : int
         Revision of the store at which the entry was last written.
     readable : bool
-        Whether the entry can be read as it stands; the endpoint is the last good one.
+        Whether the current entry is valid; if not, the endpoint is the last valid one.
     """
 
     endpoint: Endpoint
@@ -163,16 +163,16 @@
 
 @dataclass(frozen=True)
 class Departure:
-    """The end of an upstream's entry.
+    """The end of an upstream's directory entry.
 
     Attributes
     ----------
     born : int
-        Start that the entry was last known to be of.
+        Start of the last known incarnation of the entry.
     revision : int
         Revision of the store at which the entry was gone.
     drained : bool
-        Whether that start had said that it leaves; it takes no call any more.
+        Whether that incarnation was draining; it takes no further calls.
     """
 
     instance: str
@@ -181,10 +181,10 @@
     drained: bool = False
 
     def allows(self, endpoint: Endpoint, revision: int) -> bool:
-        """Return whether an entry of the same name is news after this end.
+        """Return whether an entry of the same name is newer than this departure.
 
-        An entry that lapsed may be written again by the same start. One that drained
-        is never: such an entry was sent before its end and written late.
+        A lapsed entry may be written again by the same incarnation, a drained one may
+        not: such an entry was sent before the departure and written late.
         """
         if revision <= self.revision or endpoint.born < self.born:
             return False
--- a/sequoiaspoke/core/mesh/outcome.py
+++ b/sequoiaspoke/core/mesh/outcome.py
@@ -1,4 +1,4 @@
-"""What comes of one attempt to have an upstream run a call."""
+"""Requests, and the outcomes of an attempt to run a call at an upstream."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.crashes import Crash
 
-# Reason of a call whose time was over before its upstream answered.
+# Reason: the deadline passed before the upstream answered.
 TIMED_OUT = "timeout"
-# Reason of a call whose connection ended before its answer.
+# Reason: the connection ended before the answer.
 CONNECTION_LOST = "connection-lost"
-# Reason of a call whose connection was reset sooner than an upstream works on a call.
+# Reason: the connection was reset sooner than an upstream can process a call.
 RESET_AT_ONCE = "reset-at-once"
-# Reason of a call whose upstream ended while it ran there.
+# Reason: the upstream crashed while it ran the call.
 UPSTREAM_CRASHED = "upstream-crashed"
-# Bytes of a fingerprint; chance likenesses among a million requests are one in 10^7.
+# Bytes of a fingerprint; a collision among a million requests has a chance of 1 in
+# 10^7.
 FINGERPRINT_BYTES = 8
-# Name and value of each header, in their order.
+# Names and values of headers, in order.
 Headers = tuple[tuple[str, str], ...]
 
 
@@ -31,7 +32,7 @@
     Attributes
     ----------
     nested : bool
-        Whether an upstream makes it while it runs another call.
+        Whether an upstream sends it while it runs another call.
     """
 
     method: str
@@ -41,15 +42,15 @@
     nested: bool = False
 
     def header(self, name: str) -> str:
-        """Return the value of a header, empty if it is not there."""
+        """Return the value of a header, empty if missing."""
         return find_header(self.headers, name)
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what two calls have in common that ask for the same.
+        """Return a hash that is equal for repetitions of a request.
 
-        Each attempt of a caller has an id and a time of its own and may come by any
-        node, so that neither the id nor the other headers are part of it.
+        It covers the method, host, target and body. Other headers are left out, as each
+        attempt of a caller has its own id and time and may arrive through any node.
         """
         parts = (self.method, self.header("host").lower(), self.target)
         digest = blake2b("\0".join(parts).encode(), digest_size=FINGERPRINT_BYTES)
@@ -60,12 +61,12 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """An upstream's whole answer.
+    """A complete answer of an upstream.
 
     Attributes
     ----------
     seconds : float
-        Time at the upstream.
+        Duration of the call at the upstream.
     """
 
     status: int
@@ -76,14 +77,14 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The call has not run and never will by this attempt.
+    """The call has not run and will not run by this attempt.
 
     Attributes
     ----------
-    reached : bool
-        Whether it was the upstream itself that turned the call away.
     retry_after : float
-        Seconds after which there should be room.
+        Seconds after which a slot should be free.
+    from_upstream : bool
+        Whether the upstream itself refused the call.
     """
 
     reason: str
@@ -93,12 +94,12 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """The call may have run; nobody can tell.
+    """It is unknown whether the call has run.
 
     Attributes
     ----------
     crash : Crash or None
-        The end of the upstream that ran it, if that is why.
+        The crash of the upstream that ran it, if that is the reason.
     """
 
     reason: str
@@ -109,7 +110,7 @@
 
 
 def find_header(headers: Headers, name: str) -> str:
-    """Return the value of the first header of a name in lower case."""
+    """Return the first value of a header, given its name in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
--- a/sequoiaspoke/core/mesh/retrybudget.py
+++ b/sequoiaspoke/core/mesh/retrybudget.py
@@ -1,10 +1,10 @@
-"""Bound the repeats that reach upstreams.
+"""Limit the retries that reach upstreams.
 
-One failing upstream is helped by a second try elsewhere; when a whole service
-fails, each second try is load that it cannot bear. All nodes together may add a
-fifth to the calls of a service and a fixed slack in any ten seconds. Nodes do not
-tell each other what they spent, so each takes the ratio of its own calls and an
-equal part of the slack.
+A retry at another endpoint hides the failure of one upstream; if a whole service fails,
+retries only add to its overload. By default, all nodes together may add retries of a
+fifth of a service's calls and a fixed slack in any ten seconds. Nodes do not exchange
+what they have spent, so each applies the ratio to its own calls and takes an equal part
+of the slack.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Part of the allowance that a node uses. A repeat runs the calls of its upstream anew,
-# and those count as repeats of the services that they reach: with 1.4 nested calls for
-# each of a service as busy as the one called, 0.52 is the most. Windows of nodes do
-# not line up either.
+# Share of the allowance that a node uses. A retry also repeats the nested calls of its
+# upstream, which count as retries of the services called: with 1.4 nested calls per
+# call to a service as busy as the caller's, 0.52 is the maximum. It is lower, as the
+# windows of the nodes are not aligned.
 USED_SHARE = 0.45
 
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """How many repeats all nodes together may send to a service.
+    """Limits of the retries that all nodes together may send to a service.
 
     Attributes
     ----------
     ratio : float
-        Repeats for each first call.
+        Retries per first attempt.
     slack : float
-        Repeats beyond the ratio, over all nodes.
+        Additional retries of all nodes.
     window : float
-        Seconds over which both hold.
+        Seconds over which both apply.
     """
 
     ratio: float = 0.2
@@ -39,7 +39,7 @@
 
 
 class RetryBudget:
-    """The calls and repeats of one service at this node."""
+    """First attempts and retries of one service at this node."""
 
     def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
@@ -47,12 +47,12 @@
         self.retries: deque[float] = deque()
 
     def record_first(self, now: float) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
         self.first_attempts.append(now)
         self.trim(now)
 
     def spend(self, nodes: int, now: float) -> bool:
-        """Take a repeat if there is room for one.
+        """Record a retry and return True if the budget allows one.
 
         Parameters
         ----------
@@ -68,7 +68,7 @@
         return True
 
     def trim(self, now: float) -> None:
-        """Forget what lies before the window."""
+        """Remove attempts before the window."""
         since = now - self.limits.window
         for times in (self.first_attempts, self.retries):
             while times and times[0] < since:
@@ -76,7 +76,7 @@
 
 
 class RetryBudgets:
-    """The budgets of all services."""
+    """Retry budgets of all services."""
 
     def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
--- a/sequoiaspoke/core/mesh/sample.py
+++ b/sequoiaspoke/core/mesh/sample.py
@@ -1,11 +1,10 @@
-"""Draw the few endpoints among which a call's is chosen.
+"""Draw a random sample of endpoints from which the balancer chooses.
 
-The load this answers: a service of dozens of upstreams, called by hundreds of entries
-of which each hears from one home once in seconds. Were all endpoints compared, each
-entry would send its calls to the few that it last knew to be the fastest, the same few
-as the others, and calls would queue there beside idle upstreams. Of a few drawn at
-random the best is nearly as good, and the calls spread; and what a choice costs does
-not grow with the service.
+In a service of dozens of upstreams and hundreds of entries, each entry gets a load
+report of a home only every few seconds. If it compared all endpoints, all entries would
+send their calls to the same few that were last reported as fastest, and calls would
+queue there while other upstreams are idle. The best of a small random sample is nearly
+as good and spreads the calls, and the cost of a choice does not grow with the service.
 """
 
 from __future__ import annotations
@@ -18,18 +17,21 @@
 
     from sequoiaspoke.core.mesh.model import Endpoint
 
-# Services of so many endpoints are compared whole: an entry hears of each of them
-# several times a second, and one slow or failing endpoint is a good part of them.
+# Maximum number of endpoints that are compared without sampling. An entry gets reports
+# of each several times a second, and one slow or failing endpoint is a large part of
+# them.
 FULL_COMPARISON_LIMIT = 8
-# Endpoints drawn from the own zone, and from all zones beside them. With more, entries
-# agree on the same endpoints; with fewer, a slow one is often the best that was drawn.
+# Endpoints drawn from the local zone, and additionally from all zones. With more,
+# entries agree on the same endpoints; with fewer, a slow one is often the best of the
+# sample.
 SAME_ZONE_DRAWS, ANY_ZONE_DRAWS = 2, 1
-# Draws for each endpoint wanted; most fail only where most endpoints are out of reach.
+# Maximum number of draws per endpoint. Most draws fail only if most endpoints are not
+# eligible.
 DRAWS_PER_ENDPOINT = 3
 
 
 class Sampler:
-    """Draws endpoints at random."""
+    """Draws random endpoints."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
@@ -40,20 +42,20 @@
         same_zone: Sequence[Endpoint],
         is_eligible: Callable[[Endpoint], bool],
     ) -> list[Endpoint]:
-        """Return a few endpoints that are open to a call; none only if all are closed.
+        """Return a few eligible endpoints; none only if no endpoint is eligible.
 
         Parameters
         ----------
-        endpoints, near : sequence of Endpoint
-            Those of the service, and those of them in the own zone.
-        is_open : callable
-            Whether the call may be tried at an endpoint.
+        endpoints, same_zone : sequence of Endpoint
+            Endpoints of the service, and those of them in the local zone.
+        is_eligible : callable
+            Whether the call may be sent to an endpoint.
         """
         if len(endpoints) <= FULL_COMPARISON_LIMIT:
             return [each for each in endpoints if is_eligible(each)]
         drawn = self.draw(same_zone, SAME_ZONE_DRAWS, is_eligible)
-        # With the own zone empty all come from elsewhere: one drawn alone would be a
-        # choice by chance, and other zones would not be loaded by the room they have.
+        # If the local zone is empty, all are drawn from other zones. A single one would
+        # be a random choice that ignores the load in those zones.
         drawn += self.draw(
             endpoints, SAME_ZONE_DRAWS + ANY_ZONE_DRAWS - len(drawn), is_eligible
         )
@@ -65,7 +67,7 @@
         wanted: int,
         is_eligible: Callable[[Endpoint], bool],
     ) -> list[Endpoint]:
-        """Return so many endpoints at most, each once."""
+        """Return up to `wanted` distinct eligible endpoints."""
         drawn: list[Endpoint] = []
         if not endpoints:
             return drawn
--- a/sequoiaspoke/core/mesh/slots.py
+++ b/sequoiaspoke/core/mesh/slots.py
@@ -1,50 +1,51 @@
-"""Count what runs at the upstream beside this node, so that it is never overfilled.
-
-An upstream that is full resets the connection of a further call, or leaves it without a
-word. Neither says whether the call ran: an order is lost by it, as nobody may send it
-again. What the node has sent itself it knows, but not
-
-- the calls of the process before it, which was killed, beside an upstream that runs on;
-- cancelled calls, whose connection is closed: most upstreams drop them within
-  milliseconds, some run them to their end;
-- that the upstream runs fewer at once than its entry says.
-
-An upstream that tells its load with each answer shows all three. Until its first answer
-to this process, and while it is full for all that is known, orders wait a moment for a
-read to go first, as a read that is reset can go elsewhere. Once it has reset a call,
-orders are refused as not run until it has answered something.
+"""Track the occupied slots of the upstream beside this node.
+
+A full upstream resets the connection of a further call or never answers it. Neither
+shows whether the call ran, so a non-idempotent call is lost: it must not be sent again.
+The node knows which calls it has sent itself, but not
+
+- calls sent by a previous process of this node that was killed;
+- whether cancelled calls still run: most upstreams drop a call within milliseconds of
+  its connection closing, some run it to the end;
+- that the upstream runs fewer calls at once than its directory entry says.
+
+All three show in the load that an upstream reports with each answer. Until the first
+answer to this process, and while the upstream seems full, non-idempotent calls wait
+briefly for an idempotent call to go first, as that can be retried elsewhere if it is
+reset. After a reset, non-idempotent calls are refused as not run until the upstream
+has answered a call.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Seconds after which the upstream's word on calls that are not ours counts for half;
-# calls take tenths of a second, so that it is soon out of date. Forgotten at once, a
-# full load would be sent beside the last of them before an answer could tell.
+# Seconds after which the number of foreign calls is halved. Calls take tenths of a
+# second, so the number is soon outdated. If it were dropped at once, a full load would
+# be sent beside the remaining foreign calls before an answer could report them.
 FOREIGN_HALF_LIFE = 0.5
-# Seconds for which the slot of a cancelled call stays taken: the upstream drops the
-# call when it sees its connection close, and until then one more would be too many.
+# Seconds for which a cancelled call occupies its slot: the time in which an upstream
+# notices the closed connection and drops the call.
 CANCEL_SECONDS = 0.02
-# Seconds from the first call on after which an order may be the first to be sent, if no
-# read has come: most calls of the process before have ended by then.
+# Seconds that a non-idempotent call waits for an idempotent one to be sent first. Most
+# calls of a previous process have ended by then.
 READS_FIRST_SECONDS = 0.2
-# Seconds after a reset for which no order is sent unless the upstream has answered
-# something since. Longer than nearly every call takes; an upstream that goes on
-# resetting gets one order in this time.
+# Seconds after a reset in which no non-idempotent call is sent, unless the upstream has
+# answered since. Longer than nearly all calls; an upstream that keeps resetting gets
+# one non-idempotent call in this time.
 RESETTING_SECONDS = 3.0
-# Seconds after a reset in which nothing is sent, so that a slot is free again.
+# Seconds after a reset in which no call is sent, so that a slot becomes free.
 RESET_PAUSE = 0.05
 
 
 @dataclass(frozen=True)
 class Load:
-    """What an upstream says of itself with an answer.
+    """Load that an upstream reports with an answer.
 
     Attributes
     ----------
     slots : int
-        Calls that it runs at once; 0 if it does not tell.
+        Number of calls that it runs at once; 0 if not reported.
     """
 
     running: int
@@ -52,35 +53,41 @@
     slots: int = 0
 
     def __str__(self) -> str:
-        """Return the three numbers for a log line."""
+        """Return the load in the form of log lines: running+waiting/slots."""
         return f"{self.running}+{self.waiting}/{self.slots}"
 
     @property
     def calls(self) -> int:
-        """Return how many calls it has."""
+        """Return the number of running and waiting calls."""
         return self.running + self.waiting
 
 
 class Slots:
-    """The slots of one upstream.
+    """Occupied and free slots of one upstream.
 
     Attributes
     ----------
     published : int
-        Slots by the upstream's entry.
-    told : int
-        Slots by its last answer, 0 if it does not tell.
+        Number of slots in the upstream's directory entry.
+    reported : int
+        Number of slots in its last answer; 0 if not reported.
     foreign : int
-        Calls that it ran or queued beyond those of this node, by its last answer.
-    heard : bool
-        Whether it has answered this process, or no other was there before.
+        Calls of other senders that it ran or queued, by its last answer.
+    has_answered : bool
+        Whether it has answered this process, or there was no previous process.
+    waiting_since : float
+        When the first non-idempotent call began to wait for an idempotent one.
+    paused_until : float
+        Until when no call is sent after a reset.
+    resetting_until : float
+        Until when non-idempotent calls are refused after a reset.
     counts_answered : bool or None
-        Whether the call that it answers is in the load it tells; None if not known.
-    doubt : int
-        Calls more that may run there, by whether it counts the one it answers; an order
-        is not sent into the doubt.
+        Whether the reported load includes the answered call; None if not known.
+    uncertain_calls : int
+        Further calls that may run there, as long as `counts_answered` is not known. No
+        non-idempotent call is sent to a slot that they may occupy.
     abandoned : list of float
-        When calls were cancelled of which no answer since has told the end.
+        When calls were cancelled whose end no answer has shown yet.
     """
 
     def __init__(self, published: int) -> None:
@@ -98,26 +105,26 @@
 
     @property
     def count(self) -> int:
-        """Return how many calls the upstream runs at once; the lesser word counts."""
+        """Return the number of slots, the lower of the published and reported one."""
         return min(self.published, self.reported) if self.reported else self.published
 
     def free(self, running: int, now: float) -> int:
-        """Return how many more calls may be sent beside those of this node."""
+        """Return the number of further calls that may be sent."""
         if now < self.paused_until:
             return 0
         remaining = self.remaining(running, now)
         if remaining > 0:
             return remaining
-        # One call is let through, as only its answer tells of a change.
+        # One call is sent all the same, as only an answer can report a free slot.
         return 0 if running or self.cancelled_calls(running, now) else 1
 
     def remaining(self, running: int, now: float) -> int:
-        """Return how many slots are left, by what is known."""
+        """Return the estimated number of free slots; negative if overloaded."""
         taken = running + self.cancelled_calls(running, now) + self.foreign_calls(now)
         return self.count - taken
 
     def admits(self, idempotent: bool, running: int, now: float) -> bool:
-        """Return whether a call of a kind may be the next to be sent."""
+        """Return whether an idempotent or non-idempotent call may be sent next."""
         if idempotent:
             return True
         if self.has_answered and self.remaining(running, now) > self.uncertain_calls:
@@ -125,32 +132,32 @@
         if self.resetting(now):
             return False
         self.waiting_since = min(self.waiting_since, now)
-        # While a read runs there its answer is worth waiting for.
+        # While an idempotent call runs there, wait for its answer.
         return not running and now >= self.waiting_since + READS_FIRST_SECONDS
 
     def resetting(self, now: float) -> bool:
-        """Return whether an order would be lost, as the upstream resets what comes."""
+        """Return whether the upstream is expected to reset further calls."""
         return now < self.resetting_until
 
     def cancelled_calls(self, running: int, now: float) -> int:
-        """Return how many cancelled calls are taken to hold a slot."""
+        """Return the number of cancelled calls assumed to occupy a slot."""
         if running and self.reported:
             return len(self.abandoned)
         return sum(now < since + CANCEL_SECONDS for since in self.abandoned)
 
     def foreign_calls(self, now: float) -> int:
-        """Return how many calls of others the upstream is taken to have."""
+        """Return the estimated number of calls of other senders."""
         if not self.foreign:
             return 0
         return self.foreign >> min(8, int((now - self.foreign_at) / FOREIGN_HALF_LIFE))
 
     def record_answer(self, load: Load | None, running: int, now: float) -> None:
-        """Take an answer and the upstream's word on its load.
+        """Record an answer and the load reported with it.
 
         Parameters
         ----------
         running : int
-            Calls of this node at the upstream, the answered one included.
+            Calls of this node at the upstream, including the answered one.
         """
         self.has_answered = True
         self.waiting_since = float("inf")
@@ -166,21 +173,21 @@
         self.apply_load(load, own + self.uncertain_calls, now)
 
     def record_refusal(self, load: Load | None, running: int, now: float) -> None:
-        """Take a refusal by the upstream itself, which never counts its call.
+        """Record a refusal by the upstream, whose load never includes that call.
 
         Parameters
         ----------
         running : int
-            Calls of this node at the upstream, without the refused one.
+            Calls of this node at the upstream, excluding the refused one.
         """
         self.has_answered = True
         if load is not None:
             self.apply_load(load, running, now)
 
     def apply_load(self, load: Load, own: int, now: float) -> None:
-        """Take the upstream's load, of which so many calls are those of this node."""
+        """Update the state from a reported load; `own` calls are this node's."""
         self.reported = load.slots
-        # The load shows those that were cancelled a while ago, if they run on.
+        # Calls cancelled earlier are part of the load if they still run.
         self.abandoned = [
             since for since in self.abandoned if now < since + CANCEL_SECONDS
         ]
@@ -188,36 +195,36 @@
         self.foreign_at = now
 
     def record_reset(self, running: int, now: float) -> None:
-        """Note that the upstream reset a call at once instead of an answer.
+        """Record that the upstream reset a call at once.
 
         Parameters
         ----------
         running : int
-            Calls of this node that it was taken to run, this one included.
+            Calls of this node assumed to run there, including the reset one.
         """
         self.foreign = max(self.foreign, self.count - running + 1)
         self.foreign_at = now
         self.paused_until = now + RESET_PAUSE
         self.resetting_until = now + RESETTING_SECONDS
         if self.counts_answered is None:
-            # The benefit of the doubt was one call too many.
+            # Without the uncertain call, one call too many was sent.
             self.counts_answered = True
             self.uncertain_calls = 0
 
     def detect_counting(self, load: Load, running: int) -> None:
-        """See whether the upstream counts the call that it answers.
+        """Detect whether the reported load includes the answered call.
 
-        Only where nothing else runs there: the load is then this call or nothing.
+        Only possible if nothing else runs: the load is then this call or zero.
         """
         if running == 1 and not self.abandoned and load.calls <= 1:
             self.counts_answered = load.calls == 1
 
     def abandon(self, now: float) -> None:
-        """Note that a running call was cancelled."""
+        """Record that a running call was cancelled."""
         self.abandoned.append(now)
 
     def restarted(self) -> None:
-        """Note that the upstream started anew; what ran there is over."""
+        """Reset the state after a restart, which ended all calls."""
         self.foreign = 0
         self.reported = 0
         self.paused_until = self.resetting_until = float("-inf")
--- a/sequoiaspoke/core/mesh/table.py
+++ b/sequoiaspoke/core/mesh/table.py
@@ -1,10 +1,9 @@
 """Find the route of a call.
 
-The routes are the ordered rules of a version: those of one host with the longest
-prefix first, and the first match decides. Every prefix ends with a slash, so the
-candidates for a path are its beginnings up to each slash; looking these up from
-the longest is the same decision as going through the rules, at a cost that does
-not grow with 700 routes.
+Among the routes of a host, the longest matching prefix decides. Every prefix ends with
+a slash, so the candidates are the parts of the path up to each slash. Looking them up
+from the longest on gives the same result as a scan of the ordered routes, at a cost
+that does not grow with their number (some 700).
 """
 
 from __future__ import annotations
@@ -18,19 +17,19 @@
 
 
 class RouteTable:
-    """The routes of one version, by host and prefix."""
+    """Routes of one version of the configuration, by host and prefix."""
 
     def __init__(self, config: MeshConfig) -> None:
         self.config = config
         self.routes = {(route.host, route.prefix): route for route in config.routes}
 
     def match(self, host: str, target: str) -> Route | None:
-        """Return the route that decides a call, or None.
+        """Return the route of a call, or None.
 
         Parameters
         ----------
         host : str
-            Host header as it was sent, with or without a port.
+            Host header, with or without a port.
         target : str
             Request target: path and query.
         """
@@ -40,7 +39,7 @@
         return None
 
     def candidates(self, host: str, target: str) -> Iterator[tuple[str, Route | None]]:
-        """Yield the beginnings of a path, the longest first, each with its route."""
+        """Yield the prefixes of a path with their routes, the longest first."""
         name = host.partition(":")[0].lower()
         path = target.partition("?")[0]
         end = path.rfind("/")
