--- a/sequoiaspoke/core/mesh/slots.py
+++ b/sequoiaspoke/core/mesh/slots.py
@@ -29,7 +29,7 @@
 CANCEL_SECONDS = 0.02
 # Seconds that a non-idempotent call waits for an idempotent one to be sent first. Most
 # calls of a previous process have ended by then.
-READS_FIRST_SECONDS = 0.2
+IDEMPOTENT_FIRST_SECONDS = 0.2
 # Seconds after a reset in which no non-idempotent call is sent, unless the upstream has
 # answered since. Longer than nearly all calls; an upstream that keeps resetting gets
 # one non-idempotent call in this time.
@@ -133,7 +133,7 @@
             return False
         self.waiting_since = min(self.waiting_since, now)
         # While an idempotent call runs there, wait for its answer.
-        return not running and now >= self.waiting_since + READS_FIRST_SECONDS
+        return not running and now >= self.waiting_since + IDEMPOTENT_FIRST_SECONDS
 
     def resetting(self, now: float) -> bool:
         """Return whether the upstream is expected to reset further calls."""
--- a/sequoiaspoke/tests/test_mesh_slots.py
+++ b/sequoiaspoke/tests/test_mesh_slots.py
@@ -13,7 +13,7 @@
 from sequoiaspoke.core.mesh.slots import (
     CANCEL_SECONDS,
     FOREIGN_HALF_LIFE,
-    READS_FIRST_SECONDS,
+    IDEMPOTENT_FIRST_SECONDS,
     RESETTING_SECONDS,
     Load,
     Slots,
@@ -203,7 +203,7 @@
         slots.has_answered = False
         self.assertFalse(slots.admits(False, 0, 1.0))
         self.assertTrue(slots.admits(True, 0, 1.0))
-        self.assertTrue(slots.admits(False, 0, 1.0 + READS_FIRST_SECONDS))
+        self.assertTrue(slots.admits(False, 0, 1.0 + IDEMPOTENT_FIRST_SECONDS))
 
     def test_the_first_answer_tells_whether_orders_may_go(self):
         for load, admitted in ((1, True), (6, False)):
