--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -125,7 +125,7 @@
         sent = firsts = 0
         for step in range(2000):
             node = rng.choice(nodes)
-            node.first(step / 200)
+            node.record_first(step / 200)
             firsts += 1
             sent += node.spend(12, step / 200)
         self.assertTrue(0 < sent <= 0.2 * firsts + 56)
