--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -1,8 +1,8 @@
-"""A mesh of sidecars on a virtual clock, with faults drawn from a seed.
+"""Simulate a mesh of sidecars on a virtual clock, with faults drawn from a seed.
 
-The entries, homes, links and the state of the platform are the program's own; the
-loop's clock, the connections between nodes and the upstreams are played. Nothing
-waits in real time, and one seed gives one history.
+The entries, homes, links and platform state are real code; the event loop's clock, the
+connections between nodes and the upstreams are simulated. Nothing waits in real time,
+and a seed always gives the same sequence of events.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 SLOTS = 3
 RATIO, SLACK, WINDOW = 0.05, 6.0, 10.0
 TIMEOUT = 4.0  # seconds for which callers wait
-LATE_TOLERANCE = 0.5  # seconds beyond it after which an answer breaks the promise
+LATE_TOLERANCE = 0.5  # seconds after the timeout from which an answer is a fault
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Turns waiting into a step of the clock."""
+    """Advances the clock instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -47,13 +47,13 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError("no event is scheduled")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock is the selector's."""
+    """An event loop that uses the selector's clock."""
 
     def __init__(self):
         self.virtual = VirtualSelector()
@@ -64,7 +64,7 @@
 
 
 class Pipe:
-    """One direction of a link: frames arrive in order after a delay."""
+    """One direction of a link, which delivers frames in order after a delay."""
 
     def __init__(self, world, ends):
         self.world = world
@@ -83,7 +83,7 @@
         loop.call_at(self.last, self.wake.set)
 
     async def pop(self):
-        """Return the next frame; None once the link has ended."""
+        """Return the next frame, or None after the end of the link."""
         loop = asyncio.get_running_loop()
         while True:
             cut = self.world.is_cut(*self.ends)
@@ -102,7 +102,7 @@
 
 
 class PipeFrames(Frames):
-    """Frames over two pipes."""
+    """Frames that are sent and read over two pipes."""
 
     def __init__(self, into, out):
         self.into, self.out = into, out
@@ -124,13 +124,13 @@
     def close(self):
         self.closed = True
         self.into.end()
-        # What was sent before the end still arrives, as on a real connection.
+        # Frames sent before the end still arrive, as on a real connection.
         loop = asyncio.get_running_loop()
         loop.call_at(max(loop.time(), self.out.last), self.out.end)
 
 
 class SimDialer(Dialer):
-    """Dials nodes of the same world."""
+    """Connects to nodes of the same simulation."""
 
     def __init__(self, world, host):
         self.world, self.host = world, host
@@ -152,7 +152,7 @@
 
 
 class SimUpstream:
-    """An upstream that outlives the node beside it."""
+    """An upstream that keeps running while its node is killed."""
 
     told_load = None
 
@@ -187,7 +187,7 @@
 
 
 class SimItems(ItemDecoder):
-    """Items whose value is the endpoint's service."""
+    """Decoder of store items, whose keys are names of endpoints."""
 
     def __init__(self, world):
         self.world = world
@@ -206,7 +206,7 @@
 
 
 class SimNode:
-    """A node that can be killed and started again."""
+    """A node that can be killed and restarted."""
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
@@ -261,7 +261,7 @@
             await asyncio.sleep(0.1)
 
     def kill(self):
-        """End as a killed process does: nothing is said, connections reset."""
+        """End like a killed process: send nothing and reset all connections."""
         self.up = False
         for link in list(self.server.links):
             link.frames.close()
@@ -281,9 +281,9 @@
 
 
 class MeshWorld:
-    """Nodes, callers and faults, and what was promised to the callers."""
+    """Nodes, callers and faults, with a check of the guarantees to callers."""
 
-    # Region of each zone; of none is anything known.
+    # Regions by zone; empty if not known.
     regions: ClassVar[dict[str, str]] = {}
 
     def __init__(self, seed, nodes=4):
@@ -332,7 +332,7 @@
     # Callers.
 
     async def make_call(self, number):
-        """Make one call and check what comes back."""
+        """Make one call and check its answer."""
         rng = self.rng
         host = rng.choice(list(self.nodes))
         node = self.nodes[host]
@@ -351,7 +351,7 @@
         try:
             answer = await asyncio.shield(task)
         except asyncio.CancelledError:
-            # The entry was killed; its caller sees a closed connection.
+            # The entry was killed, so that its caller sees a closed connection.
             return
         if self.now() - started > TIMEOUT + LATE_TOLERANCE:
             self.problems.append(f"{call_id}: answered late")
@@ -362,7 +362,7 @@
     # Faults.
 
     async def faults(self, seconds):
-        """Bring one fault after the other, overlapping."""
+        """Cause random faults, which may overlap."""
         end = self.now() + seconds
         choices = [
             self.reset_links, self.cut_link, self.kill_node, self.slow_upstream,
@@ -380,7 +380,7 @@
             back.end()
 
     async def silence_links(self):
-        """Let a few links lie dead without a word."""
+        """Drop all frames of a few links without closing them."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
@@ -419,7 +419,7 @@
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         self.store_down = False
 
-    # The whole.
+    # Run.
 
     async def play(self, seconds=12.0, rate=25.0):
         faults = asyncio.ensure_future(self.faults(seconds))
@@ -437,7 +437,7 @@
         await asyncio.sleep(0)
 
     def check_guarantees(self):
-        """Check the promises that hold over the whole history."""
+        """Check the guarantees over all events."""
         for call_id, runs in self.runs.items():
             if call_id.startswith("order") and len(runs) > 1:
                 self.problems.append(f"{call_id}: ran {len(runs)} times")
@@ -446,7 +446,7 @@
         for call_id, answer in self.answers.items():
             ran = self.runs.get(call_id)
             if answer.status == 503 and ran:
-                self.problems.append(f"{call_id}: told as not run, and ran")
+                self.problems.append(f"{call_id}: refused as not run, but ran")
             if answer.status == 200 and not ran:
                 self.problems.append(f"{call_id}: answered without a run")
         self.check_retries()
@@ -467,12 +467,12 @@
 
 
 def play(seed, case, **options):
-    """Play a seed and return the world."""
+    """Run the simulation of a seed and return its world."""
     return play_world(lambda: MeshWorld(seed), case, **options)
 
 
 def play_world(make, case, **options):
-    """Make a world on a virtual clock, play it and return it."""
+    """Create a world on a virtual clock, run it and return it."""
     loop = VirtualLoop()
     case.patch(clock, "now", loop.time)
     try:
--- a/sequoiaspoke/tests/test_mesh_coldstart.py
+++ b/sequoiaspoke/tests/test_mesh_coldstart.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on calls to a cold upstream."""
+"""Tests of the rate limit of a cold upstream."""
 
 import asyncio
 import random
@@ -26,20 +26,20 @@
 LIMITS = ColdLimits(overage=1.5, slack=2.0)
 SERVICE = Service("fleet", "/health", cold_rate=4.0, cold_seconds=3.0)
 COLD = replace(ENDPOINT, cold_seconds=2.0)
-MAX_PER_SECOND = 8  # calls in any second: 4 times 1.5 and 2
+MAX_PER_SECOND = 8  # 4 * 1.5 + 2
 
 
 def max_per_second(times):
-    """Return the most of some times that lie in one second."""
+    """Return the maximum number of times within one second."""
     return max(sum(t <= u < t + BOUND_SECONDS for u in times) for t in times)
 
 
 class LimitsTests(TestCase):
-    def test_the_bound(self):
-        # One call is left for the health checks.
+    def test_the_limit(self):
+        # One call is reserved for health checks.
         self.assertEqual(LIMITS.max_calls(SERVICE.cold_rate), MAX_PER_SECOND - 1)
 
-    def test_no_bound_without_a_rate(self):
+    def test_no_limit_without_a_rate(self):
         self.assertIsNone(LIMITS.max_calls(0.0))
 
 
@@ -56,30 +56,30 @@
             self.cold.begin(ticket)
             self.cold.send(ticket, now)
 
-    def test_room_comes_back_with_the_calls_of_the_window(self):
+    def test_the_limit_applies_to_a_sliding_window(self):
         self.hand_over(0.0, 4)
         self.hand_over(0.5, 3)
         self.assertEqual(self.cold.remaining(0.6), 0)
         self.assertEqual(self.cold.remaining(WINDOW), 4)
         self.assertEqual(self.cold.remaining(0.5 + WINDOW), 7)
 
-    def test_calls_from_before_it_turned_cold_count(self):
-        # An upstream turns cold while it is busy; the second in which it does is
-        # one second like any other.
+    def test_calls_before_the_cold_time_count(self):
+        # If an upstream becomes cold while it is busy, the limit applies to that second
+        # too.
         self.cold.record_cold_time(0.0, 0.0)
         self.hand_over(0.1, 20)
         self.assertIsNone(self.cold.remaining(0.2))
         self.cold.record_cold_time(3.0, 0.3)
         self.assertEqual(self.cold.remaining(0.4), 0)
 
-    def test_the_wait_that_entries_are_told(self):
+    def test_the_wait_of_a_call(self):
         self.hand_over(0.0, 7)
         self.assertAlmostEqual(self.cold.wait(0, 0.1), WINDOW - 0.1)
         self.assertAlmostEqual(self.cold.wait(7, 0.1), 2 * WINDOW - 0.1)
-        # Nobody waits for longer than it stays cold.
+        # The wait ends with the cold time.
         self.assertAlmostEqual(self.cold.wait(70, 0.1), 2.9)
 
-    def test_doubt_ends_with_its_word_or_by_itself(self):
+    def test_an_assumed_cold_time_ends_with_a_report_or_a_timeout(self):
         self.cold.record_cold_time(0.0, 0.0)
         self.cold.assume_cold(1.0, 3.0)
         self.assertTrue(self.cold.assumed_cold(2.0))
@@ -89,9 +89,9 @@
         self.cold.assume_cold(3.0, 3.0)
         self.assertIsNone(self.cold.remaining(6.1))
 
-    def test_a_new_process_waits_until_the_calls_of_the_last_one_count_no_more(self):
-        # A node is killed and starts again beside a cold upstream. Both processes
-        # together would send it twice the bound within a second, and it would crash.
+    def test_a_new_process_accounts_for_calls_of_the_previous_one(self):
+        # A node is killed and restarted beside a cold upstream. Both processes together
+        # would send twice the limit within a second, and the upstream would crash.
         self.cold.expect_earlier_calls(0.0)
         self.assertEqual(self.cold.remaining(0.9), 0)
         self.assertAlmostEqual(self.cold.wait(0, 0.4), WINDOW - 0.4)
@@ -100,9 +100,9 @@
 
 class ColdAdmissionTests(TestCase):
     def play(self, seed, rate, most=MAX_PER_SECOND - 1):
-        """Play random arrivals at a cold upstream; return when they were handed over.
+        """Simulate random arrivals at a cold upstream.
 
-        Also return how many were refused.
+        Return when calls were sent, and the number of refused calls.
         """
         rng = random.Random(seed)
         admission = Admission(9)
@@ -126,25 +126,27 @@
                 ends.append((now + rng.uniform(0.05, 0.3), given.ticket))
         return sent, refused
 
-    def test_no_second_has_more_than_the_bound(self):
-        # A zone comes back cold and all entries find it idle. Its upstreams would be
-        # sent several times what they bear, and crash one after the other.
+    def test_no_second_exceeds_the_limit(self):
+        # A zone becomes available again with cold upstreams, and all entries see it
+        # idle. Without the limit its upstreams would get several times the load that
+        # they sustain, and crash one after the other.
         for seed in range(20):
             sent, _ = self.play(seed, rate=60)
             self.assertTrue(max_per_second(sent) <= MAX_PER_SECOND, seed)
-            # The bound is used, not only kept.
+            # The limit is nearly used up.
             self.assertTrue(len(sent) >= 2 * (MAX_PER_SECOND - 1), (seed, len(sent)))
 
-    def test_without_the_bound_a_second_has_more(self):
+    def test_without_a_limit_a_second_has_more(self):
         sent, _ = self.play(1, rate=60, most=None)
         self.assertTrue(max_per_second(sent) > MAX_PER_SECOND)
 
-    def test_what_would_be_late_is_refused_at_once(self):
-        # A caller that waits for a cold upstream in vain cannot be served elsewhere.
+    def test_calls_that_would_be_late_are_refused_at_once(self):
+        # A call that waits for a cold upstream in vain cannot be served elsewhere in
+        # time.
         _, refused = self.play(1, rate=60)
         self.assertTrue(refused > 90, refused)
 
-    def test_entries_are_told_of_the_wait(self):
+    def test_the_wait_is_reported_to_entries(self):
         admission = Admission(9)
         admission.cold_start.max_calls = MAX_PER_SECOND - 1
         admission.cold_start.record_cold_time(3.0, 0.0)
@@ -155,7 +157,7 @@
 
 
 class ReportingUpstream:
-    """Answers calls at once and health checks with how cold it is."""
+    """Answers calls at once and reports its cold time in health checks."""
 
     told_load = None
 
@@ -164,7 +166,7 @@
         self.health_checks = []
         self.ran = []
         self.reachable = True
-        # Holds up connections to it until it is set.
+        # If set, connections wait for this event.
         self.gate = None
 
     async def call(self, request, instance, deadline, idempotent, on_send):
@@ -226,7 +228,7 @@
         self.home.tick(self.time)
         await self.settle()
 
-    def test_a_warm_upstream_has_no_bound_and_is_asked_nothing(self):
+    def test_a_warm_upstream_has_no_limit_and_gets_no_health_checks(self):
         async def scenario():
             self.assertEqual(await self.submit(30), 30)
             await self.wait(1.0)
@@ -234,7 +236,7 @@
 
         self.play(scenario)
 
-    def test_the_entry_tells_that_it_is_cold(self):
+    def test_the_directory_entry_reports_a_cold_upstream(self):
         async def scenario():
             self.directory.put(COLD, 6, self.time)
             self.home.take_endpoint(COLD)
@@ -242,9 +244,9 @@
 
         self.play(scenario)
 
-    def test_a_zone_that_is_taken_back_is_cold_until_it_tells_otherwise(self):
-        # The operators take a zone back and all entries send to it again. Its
-        # upstreams are cold, which their entries told seconds ago or not at all.
+    def test_after_an_evacuation_an_upstream_is_assumed_to_be_cold(self):
+        # After an evacuation of a zone all entries send calls to it again. Its
+        # upstreams are cold, which their directory entries may not show yet.
         async def scenario():
             self.home.evacuate(True, 0)
             await self.wait(2.0)
@@ -258,7 +260,7 @@
 
         self.play(scenario)
 
-    def test_a_zone_that_is_warm_when_it_is_taken_back_serves_at_once(self):
+    def test_a_warm_upstream_serves_at_once_after_an_evacuation(self):
         async def scenario():
             self.home.evacuate(True, 0)
             self.home.evacuate(False, 9)
@@ -267,8 +269,8 @@
 
         self.play(scenario)
 
-    def test_a_zone_that_was_empty_for_a_moment_may_be_cold(self):
-        # It was emptied and taken back before this node heard of either.
+    def test_an_upstream_may_be_cold_after_an_unnoticed_evacuation(self):
+        # The evacuation ended before this node was notified of its start.
         async def scenario():
             self.upstream.cold_seconds = 2.0
             self.home.evacuate(False, 9)
@@ -276,9 +278,10 @@
 
         self.play(scenario)
 
-    def test_calls_that_were_held_up_on_their_way_are_counted_as_they_arrive(self):
-        # The queue of new connections is full and calls wait for theirs. Counted as
-        # they were handed over, they would arrive beside as many of the next second.
+    def test_delayed_calls_are_counted_when_they_are_sent(self):
+        # The queue of new connections is full, and calls wait for a connection. If they
+        # counted from admission, they would be sent together with as many calls of the
+        # next second.
         async def scenario():
             self.directory.put(COLD, 6, self.time)
             self.home.take_endpoint(COLD)
@@ -293,9 +296,9 @@
 
         self.play(scenario)
 
-    def test_one_that_could_not_be_reached_may_have_started_anew(self):
-        # A zone loses its power. Its upstreams come back cold under the names that
-        # they had, before their entries tell it.
+    def test_an_unreachable_upstream_may_have_restarted(self):
+        # After a power failure of a zone its upstreams restart cold under the same
+        # names, before their directory entries show it.
         async def scenario():
             self.upstream.reachable = False
             await self.submit(1)
--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -1,4 +1,4 @@
-"""Tests of a sidecar's decisions: routes, endpoints, repeats, placing, admission."""
+"""Tests of a sidecar's decisions: routes, endpoints, retries, balancing, admission."""
 
 import random
 from collections import Counter
@@ -48,7 +48,7 @@
     def table(self, *routes):
         return RouteTable(MeshConfig(1, routes, {"fleet": Service("fleet")}))
 
-    def test_the_longest_prefix_of_the_host_decides(self):
+    def test_the_longest_matching_prefix_wins(self):
         short, long = route("/a/", "short"), route("/a/b/", "long")
         other = route("/a/b/c/", "other", host="y.example")
         table = self.table(short, long, other)
@@ -57,7 +57,7 @@
         self.assertIsNone(table.match("x.example", "/b/"))
         self.assertIsNone(table.match("z.example", "/a/"))
 
-    def test_port_case_and_query_of_a_request_do_not_matter(self):
+    def test_port_case_and_query_are_ignored(self):
         table = self.table(route("/a/"))
         self.assertIsNotNone(table.match("X.Example:8080", "/a/?q=/b/"))
         self.assertIsNone(table.match("x.example", "/c?next=/a/"))
@@ -76,15 +76,15 @@
     def serving(self):
         return {each.instance for each in self.directory.serving("fleet")}
 
-    def test_an_entry_that_vanishes_from_a_healthy_store_is_gone_at_once(self):
+    def test_an_entry_missing_from_a_healthy_store_is_removed_at_once(self):
         self.assertTrue(self.directory.remove("1", 7, 1.0))
         self.assertEqual(self.serving(), {"2"})
         self.assertTrue(self.directory.left(Incarnation("1")))
 
-    def test_entries_that_lapse_in_an_outage_stay_until_after_it(self):
-        # The store is away, upstreams cannot report, and their entries run out. On its
-        # return the store lists none. Taken at its word, every call would be refused
-        # although all upstreams serve.
+    def test_entries_that_lapse_in_an_outage_are_kept(self):
+        # During an outage of the store upstreams cannot renew their entries, which
+        # expire. If the empty list after the outage were applied, all calls would be
+        # refused although the upstreams still serve.
         self.directory.lapses.lost_store()
         self.directory.lapses.reached_store(10.0)
         self.directory.reconcile([], 9, 10.0)
@@ -93,22 +93,22 @@
         self.assertEqual(self.directory.expire(10.0 + LAPSE_GRACE), ["2"])
         self.assertEqual(self.serving(), {"1"})
 
-    def test_an_upstream_known_to_leave_does_not_stay_through_an_outage(self):
+    def test_a_draining_upstream_is_not_kept_in_an_outage(self):
         self.directory.put(endpoint("1", draining=True), 7, 0.0)
         self.directory.lapses.lost_store()
         self.directory.remove("1", 8, 1.0)
         self.assertEqual(self.serving(), {"2"})
 
-    def test_late_news_brings_nothing_back(self):
-        # A node that lags tells of an upstream that drains or has left. Taken, callers
-        # would be sent to it, and at its address may be another service by now.
+    def test_outdated_updates_are_ignored(self):
+        # A lagging node reports an upstream that has since begun to drain or has left.
+        # Calls would be sent to it, and its address may belong to another service now.
         self.directory.put(endpoint("1", draining=True), 7, 0.0)
         self.assertFalse(self.directory.put(endpoint("1"), 8, 0.0))
         self.directory.remove("2", 9, 0.0)
         self.assertFalse(self.directory.put(endpoint("2"), 6, 0.0))
         self.assertEqual(self.serving(), set())
 
-    def test_another_nodes_healthy_view_removes_at_once(self):
+    def test_a_trusted_list_removes_entries_in_an_outage(self):
         self.directory.lapses.lost_store()
         self.directory.reconcile(
             [PublishedEndpoint(endpoint("1"), 5)], 9, 1.0, trusted=True
@@ -117,8 +117,8 @@
 
 
 class RetryBudgetTests(TestCase):
-    def test_all_nodes_together_stay_within_the_allowance(self):
-        # A service that fails every call makes each node repeat all it may.
+    def test_all_nodes_together_stay_within_the_limit(self):
+        # All calls to a service fail, so that each node spends its whole budget.
         limits = RetryLimits(ratio=0.2, slack=56, window=10)
         nodes = [RetryBudget(limits) for _ in range(12)]
         rng = random.Random(1)
@@ -130,7 +130,7 @@
             sent += node.spend(12, step / 200)
         self.assertTrue(0 < sent <= 0.2 * firsts + 56)
 
-    def test_room_returns_when_the_window_has_passed(self):
+    def test_the_budget_is_restored_after_the_window(self):
         budget = RetryBudget(RetryLimits(ratio=0, slack=10, window=10))
         while budget.spend(1, 0.0):
             pass
@@ -154,19 +154,19 @@
     def report(self, instance, now=1.0, **news):
         self.placing.record_load(Incarnation(instance), "a", LoadReport(**news), now)
 
-    def test_the_own_zone_is_preferred_while_it_answers_in_time(self):
+    def test_the_local_zone_is_preferred_while_it_is_on_time(self):
         self.report("1", expected=0.2)
         self.report("2", expected=0.1)
         self.assertEqual(self.choose(), "1")
 
-    def test_another_zone_is_taken_when_the_own_would_be_late(self):
+    def test_another_zone_is_chosen_if_the_local_one_would_be_late(self):
         self.report("1", expected=0.55)
         self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
 
-    def test_large_answers_stay_in_the_zone_longer_than_small_ones(self):
-        # Bytes between zones are paid for. A page of many kilobytes is not worth
-        # sending away for a few answers more on time; a short call is.
+    def test_large_answers_leave_the_zone_later_than_small_ones(self):
+        # Traffic between zones is charged: a small gain of on-time answers is worth
+        # sending a short call to another zone, but not one of several kilobytes.
         self.report("1", expected=0.36)
         self.report("2", expected=0.2)
         self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
@@ -174,9 +174,9 @@
         self.placing.mean_bytes["a"] = 6000
         self.assertEqual(self.choose(), "1")
 
-    def test_an_upstream_that_has_joined_gets_a_first_call(self):
-        # A new upstream is expected to take the usual time. A node whose choice is
-        # faster would never send it a call, and its slots stay empty.
+    def test_a_new_upstream_gets_a_first_call(self):
+        # A new upstream is assumed to take the mean time. A node whose current choice
+        # is faster would never send it a call, and its slots would stay empty.
         joined = endpoint("3")
         self.report("1", expected=0.1)
         self.report("2", expected=0.1)
@@ -188,17 +188,17 @@
         chosen = self.placing.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "1")
 
-    def test_calls_that_last_too_long_tell_of_a_slow_upstream(self):
-        # An upstream turns twelve times slower. None of its calls has been answered
-        # yet, so nothing was measured; those that go on being sent there all fail.
+    def test_a_reported_slowdown_moves_calls_away(self):
+        # An upstream becomes twelve times slower. No call has been answered yet, so the
+        # durations show nothing, and further calls sent there would fail.
         self.report("1", expected=0.2, slowdown=4.0)
         self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=9.0), "1")
 
-    def test_an_upstream_that_fails_is_avoided_for_a_while(self):
-        # One upstream turns away every second call while its health check passes. It
-        # has the most room of all and would get the most calls.
+    def test_a_failing_upstream_is_avoided_for_a_while(self):
+        # An upstream refuses every second call while its health check passes. It has
+        # the most free slots and would get most of the calls.
         self.report("1", expected=0.2)
         self.report("2", expected=0.25)
         for _ in range(4):
@@ -206,14 +206,14 @@
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=12.0), "1")
 
-    def test_a_full_home_sends_calls_elsewhere(self):
+    def test_a_reported_queue_moves_calls_away(self):
         self.report("1", expected=0.2, wait=0.6)
         self.report("2", expected=0.2)
         self.assertEqual(self.choose(), "2")
 
 
 class SplitTests(TestCase):
-    def test_parts_follow_their_weights_in_a_short_run(self):
+    def test_a_short_run_follows_the_weights(self):
         split = (WeightedService("a", 90), WeightedService("b", 10))
         splitter = Splitter(random.Random(1))
         chosen = [splitter.choose("r", split, "") for _ in range(200)]
@@ -221,16 +221,16 @@
 
 
 class DurationsTests(TestCase):
-    def test_a_slow_phase_is_forgotten(self):
-        # An upstream was slow, calls were kept away, and it recovers. Were its old
-        # figure kept, it would never get a call to show that.
+    def test_a_high_estimate_decays(self):
+        # An upstream was slow, got no calls, and has recovered. With a constant
+        # estimate it would never get a call that shows the recovery.
         durations = Durations()
         durations.begin(1, "a", 0.0)
         durations.end(1, True, 3.0)
         self.assertEqual(durations.expected("a", 3.0), 3.0)
         self.assertTrue(durations.expected("a", 3.0 + 4 * STALE_SECONDS) < 0.5)
 
-    def test_strain_shows_before_the_first_late_answer(self):
+    def test_a_slowdown_shows_before_the_first_late_answer(self):
         durations = Durations()
         durations.begin(1, "a", 0.0)
         durations.end(1, True, 0.2)
@@ -266,9 +266,9 @@
         self.admission.finish(1, True, 0.1)
         self.assertEqual(self.run_next(), 3)
 
-    def test_calls_of_a_process_before_take_slots_too(self):
-        # A node is killed and starts again. Its upstream still runs the calls of the
-        # process before, and turns away what comes beside them.
+    def test_calls_of_a_previous_process_occupy_slots(self):
+        # A node is killed and restarted. Its upstream still runs the calls of the
+        # previous process and refuses further calls.
         self.admission = Admission(4)
         for _ in range(4):
             self.arrive()
@@ -277,17 +277,17 @@
         self.assertEqual([self.run_next(), self.run_next()], [2, None])
         self.assertEqual(self.run_next(FOREIGN_HALF_LIFE), 3)
 
-    def test_one_call_tells_whether_a_full_upstream_has_room_again(self):
+    def test_one_call_is_sent_to_a_full_upstream(self):
         self.arrive()
         self.admission.record_answer(Load(9, 0), 0.0)
         self.assertEqual(self.run_next(), 1)
 
-    def test_the_urgent_go_first(self):
+    def test_urgent_calls_go_first(self):
         for rank in (2, 2, 2, 0):
             self.arrive(rank=rank)
         self.assertEqual(self.run_next(), 4)
 
-    def test_a_call_that_cannot_end_in_time_is_refused_with_a_time(self):
+    def test_a_call_that_cannot_meet_its_deadline_is_refused(self):
         self.measure(1.0)
         for _ in range(6):
             self.arrive(on_time=99, deadline=99)
@@ -297,8 +297,8 @@
         self.assertTrue(refused.retry_after > 1.0)
 
     def test_under_overload_calls_that_can_be_on_time_go_first(self):
-        # Calls come twice as fast as they are served. In order of arrival each waits
-        # the whole queue's length, and every answer is late although half of the
+        # Calls arrive twice as fast as they are served. In order of arrival each waits
+        # for the whole queue, and nearly all answers are late although half of the
         # calls could be answered on time.
         self.measure(0.2)
         on_time = 0
@@ -313,12 +313,13 @@
             arrivals[self.tickets] = now
             while (ticket := self.run_next(now)) is not None:
                 running[ticket] = now + 0.2
-        # Half of 400 calls fit; in order of arrival 10 were on time, now 188 are.
+        # At most 200 of the 400 calls can be served; in order of arrival, about 10
+        # would be on time.
         self.assertTrue(on_time > 170, on_time)
         self.assertTrue(self.admission.waiting <= 6)
 
     def simulate_billing(self, nested):
-        """Return the share of look-ups and of charges served under an overload."""
+        """Return the shares of lookups and charges served under overload."""
         self.admission = Admission(4)
         seconds = {"charge": 0.15, "look": 0.055}
         ranks = {"charge": queue_rank(0, False), "look": queue_rank(1, nested)}
@@ -330,7 +331,7 @@
                 del running[ticket]
                 self.admission.finish(ticket, True, now)
                 served[ticket[0]] += 1
-            # Charges fill the slots by themselves, look-ups need a third of them.
+            # The charges alone fill all slots; the lookups need a third of them.
             for kind, every in (("charge", 7), ("look", 7)):
                 if step % every == 0:
                     submitted[kind] += 1
@@ -345,19 +346,19 @@
                 running[arrival.ticket] = now + seconds[arrival.route]
         return {kind: served[kind] / submitted[kind] for kind in submitted}
 
-    def test_nested_calls_are_not_starved_by_urgent_ones(self):
-        # A service is short of slots for the urgent charges alone. The look-ups that
-        # bookings need there wait behind them until it is too late, and each fails a
-        # booking of twice a charge's work that is half done elsewhere.
+    def test_urgent_calls_do_not_starve_nested_ones(self):
+        # A service has too few slots even for its urgent charges. Nested lookups would
+        # wait behind them until their deadline, and each would fail a booking elsewhere
+        # that is half done and takes twice the work of a charge.
         before, after = self.simulate_billing(False), self.simulate_billing(True)
         self.assertTrue(before["look"] < 0.3, before)
         self.assertTrue(after["look"] > 0.95, after)
-        # Of the slots they leave room for 57 charges in 100.
+        # The lookups leave slots for 57 of 100 charges.
         self.assertTrue(after["charge"] > 0.54, after)
 
-    def test_a_queue_full_of_patient_calls_has_room_for_an_urgent_one(self):
-        # Archive pages fill the queue of an overloaded upstream. The short call that
-        # an order needs from it is refused, and the whole order fails.
+    def test_an_urgent_call_replaces_one_in_a_full_queue(self):
+        # Low-priority calls fill the queue of an overloaded upstream. If a short nested
+        # call were refused for them, its whole parent call would fail.
         for _ in range(2 * QUEUE_PER_SLOT):
             self.assertIsNone(self.arrive(rank=2, deadline=99))
         refused = self.arrive(rank=1, deadline=99)
@@ -368,15 +369,15 @@
         refused = self.arrive(rank=2, deadline=99)
         self.assertEqual(refused.arrival.ticket, self.tickets)
 
-    def test_patient_calls_that_wait_make_no_urgent_one_late(self):
-        # Pages wait for an overloaded upstream. A short call that an order needs would
-        # be a little late; refused for the pages that wait, the order fails.
+    def test_queued_low_priority_calls_do_not_delay_an_urgent_one(self):
+        # Low-priority calls wait for an overloaded upstream. A nested call would be a
+        # little late; if it were refused because of them, its parent call would fail.
         self.measure(0.2)
         for _ in range(2 * self.admission.slots):
             self.arrive(rank=2, on_time=99, deadline=99)
         self.assertIsNone(self.arrive(rank=1, on_time=0.01, deadline=5))
 
-    def test_waiting_calls_are_given_up_while_their_callers_can_still_go_on(self):
+    def test_queued_calls_are_refused_before_their_deadline(self):
         self.measure(0.4)
         for _ in range(3):
             self.arrive(deadline=1.0)
@@ -389,7 +390,7 @@
 
 
 class LedgerTests(TestCase):
-    def test_a_call_is_known_while_it_may_be_asked_for_again(self):
+    def test_a_call_is_kept_while_it_may_be_resent(self):
         ledger = Ledger()
         ledger.begin("k")
         ledger.finish("k", "answer", 10, 1.0)
@@ -398,9 +399,9 @@
         ledger.expire(1.0 + RETENTION_SECONDS)
         self.assertIsNone(ledger.find("k"))
 
-    def test_large_answers_are_dropped_but_not_that_they_were_given(self):
-        # Answers of many megabytes are kept for callers whose links broke. The node
-        # would be killed for its memory; forgetting the calls would run them twice.
+    def test_large_answers_are_dropped_but_their_calls_are_kept(self):
+        # Answers are kept for entries whose links broke. Large ones would exhaust the
+        # node's memory, but without the records of their calls these could run twice.
         ledger = Ledger()
         for number in range(4):
             ledger.begin(number)
--- a/sequoiaspoke/tests/test_mesh_property.py
+++ b/sequoiaspoke/tests/test_mesh_property.py
@@ -1,8 +1,8 @@
-"""Random histories of a whole mesh on a virtual clock.
+"""Property tests of a whole mesh with random faults, on a virtual clock.
 
-Whatever befalls links, nodes, upstreams and the store, callers are told the truth:
-an order runs at most once, what is told as not run never ran, answers come in time and
-are those to the call, and repeats stay within what all nodes together may add.
+Under faults of links, nodes, upstreams and the store: non-idempotent calls run at most
+once, calls refused as not run never ran, answers arrive in time and belong to their
+call, and retries stay within the limit for all nodes together.
 """
 
 import os
@@ -18,10 +18,10 @@
 from sequoiaspoke.tests.meshsim import play
 
 SEEDS = int(os.environ.get("MESH_SEEDS", "160"))
-SHARDS = 8  # tests among which the seeds are dealt, to run side by side
-SEEDS_TRIED = 40  # seeds of which one at least catches a safeguard that is switched off
-# Seeds that have shown a fault: an order that was sent to a home before it was killed
-# was sent once more to the home that came after it, and ran twice.
+SHARDS = 8  # tests that share the seeds, to run in parallel
+SEEDS_TRIED = 40  # seeds of which at least one detects a disabled safeguard
+# Seeds that have shown a fault: a non-idempotent call sent to a home that was killed
+# was sent again to the restarted home, and ran twice.
 REGRESSION_SEEDS = (92, 93, 121, 125, 144, 243, 251, 266, 268, 297)
 
 
@@ -32,7 +32,7 @@
             self.assertEqual((seed, world.problems), (seed, []))
             self.assertTrue(len(world.answers) > 50)
 
-    def test_seeds_that_once_failed(self):
+    def test_regression_seeds(self):
         self.check_seeds(REGRESSION_SEEDS)
 
 
@@ -48,20 +48,20 @@
 
 
 class SafeguardsTests(TestCase):
-    """Each safeguard, switched off, is missed by some history."""
+    """Each disabled safeguard is detected by at least one seed."""
 
     def assert_detected(self, text):
         for seed in range(SEEDS_TRIED):
             problems = play(seed, self).problems
             if any(text in problem for problem in problems):
                 return
-        self.fail(f"no history in {SEEDS_TRIED} shows: {text}")
+        self.fail(f"none of {SEEDS_TRIED} seeds shows: {text}")
 
-    def test_the_ledger_keeps_a_call_that_is_asked_for_again_from_a_second_run(self):
+    def test_the_ledger_prevents_a_second_run_of_a_resent_call(self):
         self.patch(Ledger, "find", lambda self, key: None)
         self.assert_detected("ran 2 times")
 
-    def test_an_order_of_unknown_outcome_is_not_sent_elsewhere(self):
+    def test_a_call_of_unknown_outcome_is_not_retried(self):
         decide = Entry.repeat_allowed
 
         def unguarded(self, progress, outcome):
@@ -72,11 +72,11 @@
         self.patch(Entry, "repeat_allowed", unguarded)
         self.assert_detected("ran 2 times")
 
-    def test_a_home_that_restarted_is_not_asked_for_calls_of_the_one_before(self):
+    def test_calls_are_not_resent_to_a_restarted_home(self):
         self.patch(LinkClient, "lose_sent", lambda self, reason: None)
         self.assert_detected("ran 2 times")
 
-    def test_what_was_sent_is_not_told_as_not_run(self):
+    def test_a_sent_call_is_not_reported_as_not_run(self):
         resolve = Pending.resolve
 
         def unguarded(self, outcome):
@@ -87,11 +87,11 @@
         self.patch(Pending, "resolve", unguarded)
         self.assert_detected("ran 2 times")
 
-    def test_the_budget_holds_repeats(self):
+    def test_the_budget_limits_retries(self):
         self.patch(RetryBudget, "spend", lambda self, nodes, now: True)
         self.assert_detected("retries for")
 
-    def test_final_answers_come_in_time(self):
+    def test_final_answers_arrive_in_time(self):
         async def without_deadline(self, progress):
             return await self.serve(progress)
 
--- a/sequoiaspoke/tests/test_mesh_regions.py
+++ b/sequoiaspoke/tests/test_mesh_regions.py
@@ -1,4 +1,4 @@
-"""Calls of routes that are bound to regions, on a virtual clock."""
+"""Tests of routes that are restricted to regions, on a virtual clock."""
 
 from dataclasses import replace
 from functools import partial
@@ -14,7 +14,7 @@
 
 
 class RegionBoundMesh(MeshWorld):
-    """A mesh of two zones in two regions, whose routes are bound to one of them."""
+    """A mesh of two zones in two regions; its routes are restricted to one."""
 
     regions = {"z0": ALLOWED, "z1": FORBIDDEN}
     bound = frozenset({ALLOWED})
@@ -24,7 +24,7 @@
 
 
 class UnservedRegionMesh(RegionBoundMesh):
-    """The same with routes that are bound to a region that has no zone."""
+    """A mesh whose routes are restricted to a region without zones."""
 
     bound = frozenset({"west"})
 
@@ -42,7 +42,7 @@
         self.patch(LinkClient, "submit", recording_submit)
 
     def play(self, mesh, seed):
-        """Play a mesh; return it and the regions where calls ran and were sent."""
+        """Run a mesh; return it and the regions where calls ran and were sent."""
         self.sent_to.clear()
         world = play_world(partial(mesh, seed), self)
         self.assertEqual((seed, world.problems), (seed, []))
@@ -54,21 +54,20 @@
         sent = {world.regions[world.zone_of(host)] for _, host in self.sent_to}
         return world, ran, sent
 
-    def test_calls_run_and_bodies_go_where_the_route_allows_it(self):
-        # Nodes are killed and cut off, upstreams turn slow, shed and lose answers, and
-        # each time another region has room. Its law does not allow these calls there.
+    def test_calls_run_and_are_sent_only_in_allowed_regions(self):
+        # Nodes are killed or cut off, and upstreams become slow, refuse calls and lose
+        # answers. Another region has free slots, but the calls may not be sent there.
         for seed in SEEDS:
             world, ran, sent = self.play(RegionBoundMesh, seed)
             self.assertEqual((ran, sent), ({ALLOWED}, {ALLOWED}))
             self.assertTrue(any(a.status == 200 for a in world.answers.values()))
 
-    def test_calls_that_may_run_nowhere_are_refused_as_not_run(self):
+    def test_calls_without_an_allowed_region_are_refused_as_not_run(self):
         world, ran, sent = self.play(UnservedRegionMesh, 1)
         self.assertEqual((ran, sent), (set(), set()))
         self.assertEqual({a.status for a in world.answers.values()}, {503})
 
-    def test_without_the_guard_they_go_elsewhere(self):
-        # The safeguard switched off.
+    def test_without_the_check_calls_run_in_other_regions(self):
         self.patch(Attempts, "allowed", lambda self, route, endpoint: True)
         _, ran, _ = self.play(RegionBoundMesh, 1)
         self.assertIn(FORBIDDEN, ran)
--- a/sequoiaspoke/tests/test_mesh_sample.py
+++ b/sequoiaspoke/tests/test_mesh_sample.py
@@ -1,4 +1,4 @@
-"""Tests of choosing among a few endpoints drawn from a large service."""
+"""Tests of the random sample of endpoints of a large service."""
 
 import heapq
 import random
@@ -18,13 +18,13 @@
 
 ROUTE = Route("r", "x", "/r/", True, 4.0, 0.7, 1, 2, (WeightedService("s"),))
 SLOTS = 4
-# Seconds of work at the three speeds that upstreams of one service have.
+# Seconds per call of fast, medium and slow upstreams of one service.
 SPEEDS = (0.16, 0.23, 0.38)
 OBJECTIVE = 0.7
 
 
 def endpoints(count, zones=5):
-    """Return the endpoints of a service, spread over zones."""
+    """Return the endpoints of a service, distributed over zones."""
     return [
         Endpoint(f"i-{n}", "s", f"h{n}", 80, f"z{n % zones}", SLOTS)
         for n in range(count)
@@ -42,42 +42,41 @@
         self.all = endpoints(70)
         self.near = [each for each in self.all if each.zone == "z0"]
 
-    def test_a_small_service_is_compared_whole(self):
+    def test_all_endpoints_of_a_small_service_are_compared(self):
         few = self.all[:FULL_COMPARISON_LIMIT]
         self.assertEqual(self.sample.candidates(few, few[:2], always), few)
 
-    def test_of_a_large_one_a_few_are_drawn_most_of_them_near(self):
+    def test_a_few_endpoints_of_a_large_service_are_drawn(self):
         found = self.sample.candidates(self.all, self.near, always)
         self.assertTrue(
             SAME_ZONE_DRAWS <= len(found) <= SAME_ZONE_DRAWS + ANY_ZONE_DRAWS
         )
         self.assertTrue(sum(each.zone == "z0" for each in found) >= SAME_ZONE_DRAWS)
 
-    def test_none_is_drawn_that_is_closed_to_the_call(self):
+    def test_only_eligible_endpoints_are_drawn(self):
         is_eligible = self.near[3:].__contains__
         for _ in range(200):
             found = self.sample.candidates(self.all, self.near, is_eligible)
             self.assertTrue(found)
             self.assertTrue(all(map(is_eligible, found)))
 
-    def test_the_only_endpoint_that_is_open_is_found(self):
-        # All VMs of a service but one cannot be reached. A caller refused as the draw
-        # did not meet that one would be refused for nothing.
+    def test_the_only_eligible_endpoint_is_found(self):
+        # All VMs of a service but one are unreachable. A call must not be refused
+        # because that one was not drawn.
         last = self.all[-1]
         for _ in range(50):
             found = self.sample.candidates(self.all, self.near, last.__eq__)
             self.assertEqual(set(found), {last})
 
-    def test_nothing_is_drawn_where_all_are_closed(self):
+    def test_nothing_is_drawn_without_eligible_endpoints(self):
         found = self.sample.candidates(self.all, self.near, lambda each: False)
         self.assertEqual(found, [])
 
 
 class FleetSimulation:
-    """Many entries that call one service, each hearing of a home from its answers.
+    """Many entries that call one service and get load reports with the answers.
 
-    Homes have a queue in order of arrival. Nothing here but the choice is the
-    program's.
+    Homes have first-in, first-out queues. Only the choice of endpoints is real code.
     """
 
     def __init__(self, whole, entries=100, homes=36, load=0.65, seconds=12.0):
@@ -94,7 +93,7 @@
         self.calls = Counter()
 
     def play(self):
-        """Return the share of calls answered on time and the busiest home's calls."""
+        """Return the on-time share, and the busiest home's calls over the mean."""
         now, answers = 0.0, []
         while now < self.seconds:
             now += self.rng.expovariate(self.rate)
@@ -130,12 +129,13 @@
 
 
 class LargeServiceTests(TestCase):
-    def test_calls_of_many_entries_are_not_crowded_at_the_same_few_homes(self):
-        # A hundred entries call a service that is two thirds full, and each hears from
-        # one home every few seconds. Comparing all, they agree on the same homes, first
-        # those that nobody has tried and then the fast ones, and calls queue there
-        # beside idle ones. On time are 0.29 of the calls, with 2.6 times the mean at
-        # the busiest home; among a few drawn 0.91, with 1.4 times the mean.
+    def test_many_entries_do_not_overload_the_same_few_homes(self):
+        # A hundred entries call a service at two thirds of its capacity, and each gets
+        # a report of a home every few seconds. If they compare all endpoints, they
+        # agree on the same homes, first untried and then fast ones, and calls queue
+        # there while others are idle: 0.29 of the calls are on time, and the busiest
+        # home gets 2.6 times the mean. With a sample it is 0.91, and 1.4 times the
+        # mean.
         whole_on_time, whole_most = FleetSimulation(whole=True).play()
         on_time, most = FleetSimulation(whole=False).play()
         self.assertTrue(on_time > 0.85 > whole_on_time, (on_time, whole_on_time))
--- a/sequoiaspoke/tests/test_mesh_slots.py
+++ b/sequoiaspoke/tests/test_mesh_slots.py
@@ -1,7 +1,6 @@
-"""Tests of how a home keeps its upstream from being overfilled.
+"""Tests of the slots of an upstream that resets the calls beyond them.
 
-The upstream here resets the connection of every call beyond its slots, as some of the
-customers' do; an order that meets such a reset is lost.
+A non-idempotent call that is reset is lost, as it must not be retried.
 """
 
 import heapq
@@ -21,17 +20,17 @@
 
 SEEDS = 40
 SECONDS = 6.0
-TICK_SECONDS = 0.1  # between two looks of a home at what waits
-RATE = 60.0  # calls a second, above what six slots serve
+TICK_SECONDS = 0.1  # interval at which a home checks its queue
+RATE = 60.0  # calls per second, more than six slots can serve
 
 
 class FullUpstream:
-    """An upstream of a few slots that resets what it cannot run.
+    """An upstream of a few slots that resets further calls.
 
     Attributes
     ----------
-    drops : bool
-        Whether it drops a call whose connection is closed; others run it to its end.
+    drops_cancelled : bool
+        Whether it drops calls whose connection is closed, or runs them to the end.
     """
 
     def __init__(self, slots, drops_cancelled, reports_load=True):
@@ -48,7 +47,7 @@
         return len(self.ends)
 
     def take(self, key, seconds, now):
-        """Return when a call will be answered, None if it was reset."""
+        """Return when a call will be answered, or None if it was reset."""
         if self.running(now) >= self.slots:
             self.resets.append(key)
             return None
@@ -65,7 +64,7 @@
 
 
 class HomeSimulation:
-    """A home that may be killed and started again beside a full upstream."""
+    """A home that is killed and restarted beside a full upstream."""
 
     def __init__(
         self, seed, slots=6, drops_cancelled=True, unguarded=False, cancel_share=0.1
@@ -145,7 +144,7 @@
         self.at(now + CANCEL_SECONDS, self.advance)
 
     def kill(self, now):
-        """End the node and start it again a moment later beside the same upstream."""
+        """Restart the node beside the same upstream."""
         for key in list(self.upstream.ends):
             self.upstream.drop(key, now)
         self.start()
@@ -163,58 +162,59 @@
             total += simulation.lost_calls()
         return total
 
-    def test_no_order_is_lost_to_an_upstream_that_the_home_filled_itself(self):
-        # Calls come faster than they are served, callers leave, and the node is killed
-        # and started again beside its upstream, which drops what it ran.
+    def test_no_call_is_lost_to_an_upstream_that_the_home_filled(self):
+        # Calls arrive faster than they are served, callers cancel, and the node
+        # restarts beside its upstream, which drops the calls of the previous process.
         self.assertEqual(self.count_lost(), 0)
 
-    def test_no_order_meets_the_calls_of_a_node_that_was_killed(self):
+    def test_no_call_is_lost_to_calls_of_a_previous_process(self):
         # The upstream does not notice that the node was killed and runs its calls to
-        # their end. The new process knows nothing of them; it sent a full load beside
-        # them, and its first orders were reset, which nobody may send again.
+        # the end. The new process does not know them; if it sent a full load beside
+        # them, its first non-idempotent calls would be reset.
         self.assertEqual(self.count_lost(drops_cancelled=False, cancel_share=0.0), 0)
         self.assertTrue(
             self.count_lost(drops_cancelled=False, cancel_share=0.0, unguarded=True)
             > SEEDS
         )
 
-    def test_no_order_meets_cancelled_calls_that_run_on(self):
-        # One read in ten is given up by its caller, and the upstream runs it to its end
-        # all the same. Orders that were sent into its slot were reset.
+    def test_no_call_is_lost_to_cancelled_calls_that_still_run(self):
+        # One idempotent call in ten is cancelled, but the upstream runs it to the end.
+        # Non-idempotent calls sent to its slot would be reset.
         self.assertEqual(self.count_lost(drops_cancelled=False), 0)
         self.assertTrue(self.count_lost(drops_cancelled=False, unguarded=True) > SEEDS)
 
-    def test_the_slots_may_change(self):
+    def test_no_call_is_lost_if_the_slots_shrink(self):
         simulation = HomeSimulation(3)
         simulation.at(1.0, lambda now: self.shrink(simulation, 3))
         simulation.run()
         self.assertEqual(simulation.lost_calls(), 0)
 
     def shrink(self, simulation, slots):
-        """Let the upstream tell fewer slots; what runs there ends first."""
+        """Publish fewer slots, and reduce them once the running calls have ended."""
         simulation.admission.upstream_slots.published = slots
         simulation.at(1.5, lambda now: setattr(simulation.upstream, "slots", slots))
 
 
 class SlotsTests(TestCase):
-    def test_after_a_start_an_order_lets_a_read_go_first_for_a_moment(self):
-        # Beside a full upstream the first call may be reset: a read goes elsewhere.
+    def test_after_a_start_an_idempotent_call_goes_first(self):
+        # The first call to a full upstream may be reset; an idempotent one can be
+        # retried.
         slots = Slots(6)
         slots.has_answered = False
         self.assertFalse(slots.admits(False, 0, 1.0))
         self.assertTrue(slots.admits(True, 0, 1.0))
         self.assertTrue(slots.admits(False, 0, 1.0 + IDEMPOTENT_FIRST_SECONDS))
 
-    def test_the_first_answer_tells_whether_orders_may_go(self):
+    def test_the_first_answer_decides_on_non_idempotent_calls(self):
         for load, admitted in ((1, True), (6, False)):
             slots = Slots(6)
             slots.has_answered = False
             slots.record_answer(Load(load, 0, 6), 1, 1.0)
             self.assertEqual(slots.admits(False, 1, 1.0), admitted)
 
-    def test_a_refusal_tells_nothing_of_how_the_upstream_counts(self):
-        # An upstream that sheds part of its calls does not count the one it refuses.
-        # Taken for its way to count, one slot of six stood idle from then on.
+    def test_a_refusal_does_not_show_how_the_upstream_counts(self):
+        # The load reported with a refusal never includes the refused call. If that were
+        # assumed of answers too, one slot of six would stay idle.
         slots = Slots(6)
         slots.record_refusal(Load(0, 0, 6), 0, 1.0)
         slots.record_answer(Load(3, 0, 6), 3, 1.1)
@@ -222,7 +222,7 @@
         slots.record_refusal(Load(5, 0, 6), 2, 1.2)
         self.assertEqual(slots.free(2, 1.2), 1)
 
-    def test_a_reset_at_once_is_a_full_upstream(self):
+    def test_a_reset_marks_the_upstream_as_full(self):
         slots = Slots(6)
         slots.record_reset(3, 1.0)
         self.assertEqual(slots.free(2, 1.0), 0)
@@ -231,9 +231,10 @@
         slots.record_answer(Load(1, 0, 6), 1, 1.5)
         self.assertFalse(slots.resetting(1.5))
 
-    def test_orders_that_would_be_reset_are_refused_as_not_run(self):
-        # Two orders wait as the upstream resets a read. Sent, they would be lost; kept
-        # waiting, their callers would hear too late that they can go elsewhere.
+    def test_calls_that_would_be_reset_are_refused_as_not_run(self):
+        # Non-idempotent calls wait or arrive while the upstream resets calls. If sent,
+        # they would be lost; if queued, they would be refused too late for another
+        # endpoint.
         admission = Admission(1)
         for ticket, idempotent in ((1, True), (2, False), (3, True)):
             admission.arrive(Arrival(ticket, "a", 1, 1.0, 4.0, idempotent), 0.0)
@@ -249,7 +250,7 @@
         admission.finish(3, True, 0.2)
         self.assertIsNone(admission.arrive(Arrival(5, "a", 1, 1.0, 4.0, False), 0.2))
 
-    def test_the_lesser_word_on_slots_counts(self):
+    def test_the_lower_number_of_slots_applies(self):
         slots = Slots(6)
         slots.record_answer(Load(1, 0, 3), 1, 1.0)
         self.assertEqual(slots.count, 3)
@@ -258,16 +259,16 @@
         slots.published = 2
         self.assertEqual(slots.count, 2)
 
-    def test_calls_of_others_are_forgotten_step_by_step(self):
+    def test_foreign_calls_decay_gradually(self):
         slots = Slots(6)
         slots.record_answer(Load(6, 2), 1, 1.0)
         first = slots.free(1, 1.0)
         later = slots.free(1, 1.0 + FOREIGN_HALF_LIFE)
         self.assertTrue(first < later < slots.free(1, 1.0 + 9 * FOREIGN_HALF_LIFE) == 5)
 
-    def test_cancelled_calls_hold_their_slots_until_an_answer_tells(self):
-        # Two callers have left. The upstream drops their calls as it notices the end of
-        # their connections, or runs them on; only its next answer shows which.
+    def test_cancelled_calls_occupy_slots_until_the_next_answer(self):
+        # Two calls were cancelled. The upstream drops them as it notices the closed
+        # connections, or runs them to the end; only its next answer shows which.
         for still_running, free in ((0, 3), (2, 1)):
             slots = Slots(4)
             slots.record_answer(Load(1, 0, 4), 1, 0.5)
@@ -277,7 +278,7 @@
             slots.record_answer(Load(1 + still_running, 0, 4), 1, 1.1)
             self.assertEqual(slots.free(1, 1.1), free)
 
-    def test_nobody_waits_for_an_answer_where_nothing_runs(self):
+    def test_cancelled_calls_expire_if_nothing_else_runs(self):
         slots = Slots(2)
         slots.record_answer(Load(1, 0, 2), 1, 0.5)
         slots.abandon(1.0)
