--- a/sequoiaspoke/tests/test_mesh_core.py
+++ b/sequoiaspoke/tests/test_mesh_core.py
@@ -141,18 +141,18 @@
 class BalancerTests(TestCase):
     def setUp(self):
         super().setUp()
-        self.placing = Balancer("akaki")
+        self.balancer = Balancer("akaki")
         self.near, self.far = endpoint("1"), endpoint("2", zone="bole")
         self.route = route()
 
     def choose(self, now=1.0, left=0.6):
-        chosen = self.placing.choose(
+        chosen = self.balancer.choose(
             self.route, (self.near, self.far), lambda _: False, now, left
         )
         return chosen.instance
 
-    def report(self, instance, now=1.0, **news):
-        self.placing.record_load(Incarnation(instance), "a", LoadReport(**news), now)
+    def report(self, instance, now=1.0, **values):
+        self.balancer.record_load(Incarnation(instance), "a", LoadReport(**values), now)
 
     def test_the_local_zone_is_preferred_while_it_is_on_time(self):
         self.report("1", expected=0.2)
@@ -169,9 +169,9 @@
         # sending a short call to another zone, but not one of several kilobytes.
         self.report("1", expected=0.36)
         self.report("2", expected=0.2)
-        self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
+        self.balancer.record_answer("a", Incarnation("1"), 0.3, 500)
         self.assertEqual(self.choose(), "2")
-        self.placing.mean_bytes["a"] = 6000
+        self.balancer.mean_bytes["a"] = 6000
         self.assertEqual(self.choose(), "1")
 
     def test_a_new_upstream_gets_a_first_call(self):
@@ -180,12 +180,12 @@
         joined = endpoint("3")
         self.report("1", expected=0.1)
         self.report("2", expected=0.1)
-        self.placing.record_answer("a", Incarnation("1"), 0.3, 500)
+        self.balancer.record_answer("a", Incarnation("1"), 0.3, 500)
         endpoints = (self.near, self.far, joined)
-        chosen = self.placing.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
+        chosen = self.balancer.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "3")
-        self.placing.begin(Incarnation("3"))
-        chosen = self.placing.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
+        self.balancer.begin(Incarnation("3"))
+        chosen = self.balancer.choose(self.route, endpoints, lambda _: False, 1.0, 0.6)
         self.assertEqual(chosen.instance, "1")
 
     def test_a_reported_slowdown_moves_calls_away(self):
@@ -202,7 +202,7 @@
         self.report("1", expected=0.2)
         self.report("2", expected=0.25)
         for _ in range(4):
-            self.placing.record_failure(Incarnation("1"), 1.0)
+            self.balancer.record_failure(Incarnation("1"), 1.0)
         self.assertEqual(self.choose(), "2")
         self.assertEqual(self.choose(now=12.0), "1")
 
--- a/sequoiaspoke/tests/test_mesh_sample.py
+++ b/sequoiaspoke/tests/test_mesh_sample.py
@@ -79,13 +79,13 @@
     Homes have first-in, first-out queues. Only the choice of endpoints is real code.
     """
 
-    def __init__(self, whole, entries=100, homes=36, load=0.65, seconds=12.0):
+    def __init__(self, compare_all, entries=100, homes=36, load=0.65, seconds=12.0):
         self.rng = random.Random(5)
         self.endpoints = endpoints(homes, zones=1)
         self.speed = {e.instance: SPEEDS[n % 3] for n, e in enumerate(self.endpoints)}
         self.entries = [Balancer("z0") for _ in range(entries)]
         self.sample = Sampler(random.Random(6))
-        self.whole = whole
+        self.compare_all = compare_all
         self.free = {e.instance: [0.0] * SLOTS for e in self.endpoints}
         capacity = sum(SLOTS / each for each in self.speed.values())
         self.rate, self.seconds = load * capacity, seconds
@@ -107,7 +107,7 @@
 
     def call(self, entry, now, number):
         drawn = self.endpoints
-        if not self.whole:
+        if not self.compare_all:
             drawn = self.sample.candidates(self.endpoints, self.endpoints, always)
         chosen = entry.choose(ROUTE, drawn, lambda name: False, now, OBJECTIVE)
         entry.begin(chosen.incarnation)
@@ -123,8 +123,8 @@
         start = chosen.incarnation
         entry.end(start)
         wait = max(0.0, min(self.free[chosen.instance]) - now)
-        news = LoadReport(1.0, self.speed[chosen.instance], wait)
-        entry.record_load(start, ROUTE.name, news, now)
+        report = LoadReport(1.0, self.speed[chosen.instance], wait)
+        entry.record_load(start, ROUTE.name, report, now)
         entry.record_answer(ROUTE.name, start, work, 500)
 
 
@@ -136,7 +136,7 @@
         # there while others are idle: 0.29 of the calls are on time, and the busiest
         # home gets 2.6 times the mean. With a sample it is 0.91, and 1.4 times the
         # mean.
-        whole_on_time, whole_most = FleetSimulation(whole=True).play()
-        on_time, most = FleetSimulation(whole=False).play()
-        self.assertTrue(on_time > 0.85 > whole_on_time, (on_time, whole_on_time))
-        self.assertTrue(most < whole_most, (most, whole_most))
+        all_on_time, all_most = FleetSimulation(compare_all=True).play()
+        on_time, most = FleetSimulation(compare_all=False).play()
+        self.assertTrue(on_time > 0.85 > all_on_time, (on_time, all_on_time))
+        self.assertTrue(most < all_most, (most, all_most))
