--- a/sequoiaspoke/core/mesh/directory.py
+++ b/sequoiaspoke/core/mesh/directory.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Published
+    from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, PublishedEndpoint
     from sequoiaspoke.core.mesh.records import EndpointGroup
 
 # Seconds for which a departure is remembered, so that a late update from a lagging node
@@ -140,7 +140,7 @@
 
     def reconcile(
         self,
-        listed: Iterable[Published],
+        listed: Iterable[PublishedEndpoint],
         revision: int,
         now: float,
         trusted: bool = False,
--- a/sequoiaspoke/core/mesh/records.py
+++ b/sequoiaspoke/core/mesh/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.model import Published
+from sequoiaspoke.core.mesh.model import PublishedEndpoint
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointRecord(Published):
+class EndpointRecord(PublishedEndpoint):
     """A published endpoint and until when this node takes it for cold."""
 
     cold_until: float = 0.0
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -8,20 +8,20 @@
 
 from sequoiaspoke.core.idempotency.rendezvous import rank
 from sequoiaspoke.core.mesh.admission import queue_rank
+from sequoiaspoke.core.mesh.balancer import Balancer
 from sequoiaspoke.core.mesh.outcome import Answer, Unknown
-from sequoiaspoke.core.mesh.placing import Placing
-from sequoiaspoke.core.mesh.repeats import RepeatBudgets
-from sequoiaspoke.core.mesh.sample import Sample
+from sequoiaspoke.core.mesh.retrybudget import RetryBudgets
+from sequoiaspoke.core.mesh.sample import Sampler
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.deadlines import Deadlines
 from sequoiaspoke.sidecar.homecall import HomeCall
 from sequoiaspoke.sidecar.race import RETRYABLE_STATUSES, Attempt, Race
 
 if TYPE_CHECKING:
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
     from sequoiaspoke.core.mesh.outcome import Outcome
-    from sequoiaspoke.core.mesh.placing import News
-    from sequoiaspoke.core.mesh.repeats import RepeatLimits
+    from sequoiaspoke.core.mesh.retrybudget import RetryLimits
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.peers import Peers
@@ -45,7 +45,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        retry_limits: RepeatLimits,
+        retry_limits: RetryLimits,
         regions: dict[str, str],
         log: EventLog,
     ) -> None:
@@ -55,9 +55,9 @@
         self.regions = regions
         self.log = log
         self.deadlines = Deadlines()
-        self.placing = Placing(peers.identity.zone)
-        self.sample = Sample(peers.rng)
-        self.budgets = RepeatBudgets(retry_limits)
+        self.placing = Balancer(peers.identity.zone)
+        self.sample = Sampler(peers.rng)
+        self.budgets = RetryBudgets(retry_limits)
         self.reasons: Counter[str] = Counter()
         self.local_calls = 0
         peers.on_load_report = self.load_reported
@@ -150,7 +150,7 @@
         hedge_timer = None
         if self.may_hedge(progress) and not race.result.done():
             now = clock.now()
-            delay = self.placing.patience(progress.route.name, endpoint, now)
+            delay = self.placing.hedge_delay(progress.route.name, endpoint, now)
             hedge_timer = self.deadlines.call_at(
                 now + delay, partial(self.hedge, progress, race)
             )
@@ -238,24 +238,26 @@
 
         self.home.submit(key, call, on_outcome)
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: News) -> None:
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, report: LoadReport
+    ) -> None:
         """Take crash report, load report and outcome of a finished attempt."""
         incarnation, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
             self.home.crash_guard.record_reports([outcome.crash])
         self.placing.end(incarnation)
-        self.placing.load(incarnation, attempt.progress.route.name, report, now)
+        self.placing.record_load(incarnation, attempt.progress.route.name, report, now)
         self.record_outcome(attempt.progress, incarnation, outcome, now)
 
     def attempt_cancelled(self, attempt: Attempt) -> None:
         """Note that an attempt was cancelled."""
         self.placing.end(attempt.endpoint.incarnation)
 
-    def load_reported(self, host: str, report: News) -> None:
+    def load_reported(self, host: str, report: LoadReport) -> None:
         """Take a load report that a home sent without an answer."""
         now = clock.now()
         for endpoint in self.state.directory.at_host(host):
-            self.placing.load(endpoint.incarnation, "", report, now)
+            self.placing.record_load(endpoint.incarnation, "", report, now)
 
     def record_outcome(
         self, progress: Progress, incarnation: Incarnation, outcome: Outcome, now: float
@@ -263,11 +265,11 @@
         """Update the statistics of an upstream with the outcome of an attempt."""
         if isinstance(outcome, Answer):
             if outcome.status in RETRYABLE_STATUSES:
-                self.placing.failed(incarnation, now)
+                self.placing.record_failure(incarnation, now)
             else:
                 size = len(progress.request.body) + len(outcome.body)
-                self.placing.answered(
+                self.placing.record_answer(
                     progress.route.name, incarnation, outcome.seconds, size
                 )
-        elif isinstance(outcome, Unknown) or outcome.reached:
-            self.placing.failed(incarnation, now)
+        elif isinstance(outcome, Unknown) or outcome.from_upstream:
+            self.placing.record_failure(incarnation, now)
--- a/sequoiaspoke/sidecar/coldmonitor.py
+++ b/sequoiaspoke/sidecar/coldmonitor.py
@@ -56,18 +56,18 @@
     def set_service(self, service: Service, limits: ColdLimits) -> None:
         """Set the operators' settings for the upstream's service."""
         self.service = service
-        self.cold_start.most = limits.most(service.cold_rate)
+        self.cold_start.max_calls = limits.max_calls(service.cold_rate)
 
     def update_from_endpoint(self, held: EndpointRecord) -> None:
         """Apply the cold state that the endpoint shows, once per revision."""
         if held.revision != self.endpoint_revision:
             self.endpoint_revision = held.revision
-            self.cold_start.published(held.cold_until)
+            self.cold_start.record_published(held.cold_until)
 
     def assume_cold(self, now: float) -> None:
         """Treat the upstream as cold until it reports its state."""
         seconds = self.service.cold_seconds if self.service else 0.0
-        self.cold_start.doubt(now, seconds)
+        self.cold_start.assume_cold(now, seconds)
         self.probe_if_due(now)
 
     def probe_if_due(self, now: float) -> None:
@@ -75,7 +75,7 @@
         if (
             self.paused
             or self.probe_task is not None
-            or not self.cold_start.doubted(now)
+            or not self.cold_start.assumed_cold(now)
         ):
             return
         path = self.service.health_path if self.service else ""
@@ -93,6 +93,6 @@
             self.probe_task = None
         if seconds is None:
             return
-        self.cold_start.told(seconds, clock.now())
+        self.cold_start.record_cold_time(seconds, clock.now())
         self.log.event("upstream-cold", seconds=f"{seconds:.2f}", source="health")
         self.on_reported()
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -13,8 +13,8 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.admission import LEAST_WAIT, Turned
-from sequoiaspoke.core.mesh.durations import FIRST_GUESS
+from sequoiaspoke.core.mesh.admission import MIN_RETRY_AFTER, RefusalReason
+from sequoiaspoke.core.mesh.durations import INITIAL_ESTIMATE
 from sequoiaspoke.core.mesh.outcome import TIMED_OUT, Answer, NotRun, Unknown
 from sequoiaspoke.core.routing.split import Splitter
 from sequoiaspoke.sidecar import clock
@@ -30,7 +30,7 @@
 
     from sequoiaspoke.core.mesh.model import Endpoint, Route
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
-    from sequoiaspoke.core.mesh.repeats import RepeatLimits
+    from sequoiaspoke.core.mesh.retrybudget import RetryLimits
     from sequoiaspoke.sidecar.home import Home
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.names import HeaderNames
@@ -70,7 +70,7 @@
         state: MeshState,
         home: Home,
         peers: Peers,
-        retry_limits: RepeatLimits,
+        retry_limits: RetryLimits,
         rng: Random,
         log: EventLog,
     ) -> None:
@@ -123,8 +123,8 @@
         )
         quarantine = self.attempts.quarantine_seconds(progress)
         if quarantine:
-            return self.refuse(request, Turned.HELD_BACK, quarantine, service)
-        self.attempts.budgets.of(service).first(arrived)
+            return self.refuse(request, RefusalReason.HELD_BACK, quarantine, service)
+        self.attempts.budgets.of(service).record_first(arrived)
         try:
             answer = await self.serve_until_deadline(progress)
         except TimeoutError:
@@ -196,7 +196,7 @@
         accepted in its last seconds would be cut off by the exit, and the caller would
         not know whether it ran.
         """
-        usual = self.attempts.placing.mean.get(route.name, FIRST_GUESS)
+        usual = self.attempts.placing.mean_seconds.get(route.name, INITIAL_ESTIMATE)
         return now + LONGEST_CALL_FACTOR * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
@@ -225,11 +225,11 @@
     ) -> bool:
         """Record the outcome of an attempt; return whether to make another."""
         progress.tried.add(endpoint.incarnation)
-        unreached = isinstance(outcome, NotRun) and not outcome.reached
+        unreached = isinstance(outcome, NotRun) and not outcome.from_upstream
         if unreached:
             progress.unreached += 1
             retry = (
-                outcome.reason != Turned.HELD_BACK
+                outcome.reason != RefusalReason.HELD_BACK
                 and progress.unreached <= MAX_UNREACHED_ATTEMPTS
             )
         else:
@@ -238,7 +238,7 @@
             retry = self.may_retry(progress, outcome)
         if isinstance(outcome, NotRun):
             progress.retry_after = min(progress.retry_after, outcome.retry_after)
-            if outcome.reason == Turned.HELD_BACK:
+            if outcome.reason == RefusalReason.HELD_BACK:
                 # All homes hold the request back for as long.
                 progress.retry_after = outcome.retry_after
         if not isinstance(outcome, Answer):
@@ -292,7 +292,7 @@
         if progress.may_have_run:
             return self.fail(progress, 502, reason)
         if isinstance(last_outcome, NotRun):
-            wait = max(progress.retry_after, LEAST_WAIT)
+            wait = max(progress.retry_after, MIN_RETRY_AFTER)
             return self.refuse(
                 progress.request, last_outcome.reason, wait, progress.service
             )
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -10,7 +10,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.mesh.admission import Admission, Arrival, Refused, Turned
+from sequoiaspoke.core.mesh.admission import Admission, Arrival, RefusalReason, Refused
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.leaving import LeavingUpstreams
 from sequoiaspoke.core.mesh.ledger import Ledger
 from sequoiaspoke.core.mesh.outcome import (
@@ -20,8 +21,7 @@
     NotRun,
     Unknown,
 )
-from sequoiaspoke.core.mesh.placing import News
-from sequoiaspoke.core.mesh.slots import SETTLE_SECONDS
+from sequoiaspoke.core.mesh.slots import CANCEL_SECONDS
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.coldmonitor import ColdMonitor
 from sequoiaspoke.sidecar.crashdetector import CrashDetector, SentCall
@@ -141,23 +141,23 @@
 
         They may still run there, and the upstream may be cold.
         """
-        self.admission.upstream.heard = False
+        self.admission.upstream_slots.has_answered = False
         self.admission.cold_start.expect_earlier_calls(clock.STARTED)
         self.cold_monitor.assume_cold(clock.STARTED)
 
     def find_refusal(self, call: HomeCall) -> NotRun | None:
         """Return why a call is refused regardless of load, None if it is not."""
         if self.leaving:
-            return NotRun(Turned.LEAVING, LEAVING_RETRY_AFTER)
+            return NotRun(RefusalReason.LEAVING, LEAVING_RETRY_AFTER)
         if self.evacuated:
-            self.counts[Turned.ZONE_EVACUATED] += 1
-            return NotRun(Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
+            self.counts[RefusalReason.ZONE_EVACUATED] += 1
+            return NotRun(RefusalReason.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
         if self.directory.is_leaving(call.incarnation):
-            return NotRun(Turned.INSTANCE_LEFT)
+            return NotRun(RefusalReason.INSTANCE_LEFT)
         seconds = self.held_seconds(call)
         if seconds:
-            self.counts[Turned.HELD_BACK] += 1
-            return NotRun(Turned.HELD_BACK, seconds)
+            self.counts[RefusalReason.HELD_BACK] += 1
+            return NotRun(RefusalReason.HELD_BACK, seconds)
         return None
 
     def suspected(self, call: HomeCall) -> bool:
@@ -180,7 +180,7 @@
             seconds = self.held_seconds(self.calls[arrival.ticket].call)
             if seconds:
                 self.admission.cancel(arrival.ticket)
-                self.refuse(Refused(arrival, Turned.HELD_BACK, seconds))
+                self.refuse(Refused(arrival, RefusalReason.HELD_BACK, seconds))
         self.dispatch()
 
     def dispatch(self) -> None:
@@ -239,14 +239,14 @@
         now = clock.now()
         self.outage_log.record(outcome, now)
         if isinstance(outcome, Answer):
-            self.admission.answered(load, now)
-        elif isinstance(outcome, NotRun) and outcome.reached:
-            self.admission.refused_by_upstream(load, now)
+            self.admission.record_answer(load, now)
+        elif isinstance(outcome, NotRun) and outcome.from_upstream:
+            self.admission.record_refusal(load, now)
         elif outcome.reason in (UNREACHABLE, UPSTREAM_CRASHED):
             # The upstream may be restarting, and is then cold once it is reachable.
             self.cold_monitor.assume_cold(now)
         elif isinstance(outcome, Unknown) and outcome.reason == RESET_AT_ONCE:
-            self.admission.turned_away(now)
+            self.admission.record_reset(now)
 
     def free_slot(self, key: Hashable, answered: bool) -> None:
         """Release a call's slot and start the next call."""
@@ -259,7 +259,7 @@
         The upstream may work on for a moment, so queued calls start only after that.
         """
         self.admission.abandon(key, clock.now())
-        asyncio.get_running_loop().call_later(SETTLE_SECONDS, self.dispatch)
+        asyncio.get_running_loop().call_later(CANCEL_SECONDS, self.dispatch)
 
     def finish(self, key: Hashable, outcome: Outcome) -> None:
         """Store a call's outcome and report it."""
@@ -302,7 +302,7 @@
             left=f"{refused.arrival.deadline - clock.now():.3f}",
         )
 
-    def load_report(self, route: str = "", rank: int = 0) -> News:
+    def load_report(self, route: str = "", rank: int = 0) -> LoadReport:
         """Return the load report that is sent to entries.
 
         Parameters
@@ -315,11 +315,11 @@
         now = clock.now()
         durations = self.admission.durations
         if not route:
-            return News(strain=durations.strain(now))
-        return News(
-            durations.strain(now),
+            return LoadReport(slowdown=durations.slowdown(now))
+        return LoadReport(
+            durations.slowdown(now),
             durations.expected(route, now),
-            self.admission.wait_of_rank(rank, now),
+            self.admission.wait_for_rank(rank, now),
         )
 
     def cancel(self, key: Hashable) -> None:
@@ -346,7 +346,7 @@
         if not self.admission.waiting:
             self.leavers.clear()
             return
-        for refused in self.admission.overdue(now):
+        for refused in self.admission.drop_overdue(now):
             self.refuse(refused)
         self.refuse_calls_to_leaving(now)
         self.dispatch()
@@ -363,7 +363,9 @@
         for arrival in waiting:
             if self.calls[arrival.ticket].call.incarnation in overdue:
                 self.admission.cancel(arrival.ticket)
-                self.refuse(Refused(arrival, Turned.INSTANCE_LEFT, LEAVING_RETRY_AFTER))
+                self.refuse(
+                    Refused(arrival, RefusalReason.INSTANCE_LEFT, LEAVING_RETRY_AFTER)
+                )
 
     def set_evacuated(self, evacuated: bool, ended_at: int) -> None:
         """Set whether the zone is evacuated; while it is, the upstream gets no calls.
@@ -383,7 +385,9 @@
             for arrival in list(self.admission.queue.values()):
                 self.admission.cancel(arrival.ticket)
                 self.refuse(
-                    Refused(arrival, Turned.ZONE_EVACUATED, EVACUATED_RETRY_AFTER)
+                    Refused(
+                        arrival, RefusalReason.ZONE_EVACUATED, EVACUATED_RETRY_AFTER
+                    )
                 )
         elif ended:
             # The evacuation may have been too short for this node to see its start.
@@ -408,10 +412,10 @@
         held = self.directory.records.get(endpoint.instance)
         if held is not None:
             self.cold_monitor.update_from_endpoint(held)
-        if endpoint.slots != self.admission.upstream.published:
+        if endpoint.slots != self.admission.upstream_slots.published:
             self.set_slots(endpoint.slots)
 
     def set_slots(self, slots: int) -> None:
         """Set the number of calls that the upstream runs at once."""
-        self.admission.upstream.published = slots
+        self.admission.upstream_slots.published = slots
         self.dispatch()
--- a/sequoiaspoke/sidecar/linkclient.py
+++ b/sequoiaspoke/sidecar/linkclient.py
@@ -12,8 +12,8 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.outcome import NotRun, Unknown
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.liveness import LivenessWait
 from sequoiaspoke.sidecar.pending import PendingCall
@@ -47,7 +47,7 @@
 REDIAL_MIN, REDIAL_MAX = 0.1, 0.4
 
 
-def ignore_load_report(load_report: News) -> None:
+def ignore_load_report(load_report: LoadReport) -> None:
     """Do nothing; the default of links whose load reports are not used."""
 
 
@@ -89,8 +89,8 @@
         self.failing = False
         self.leaving = False
         self.incarnation: int | None = None
-        self.load_report = News()
-        self.on_load_report: Callable[[News], None] = ignore_load_report
+        self.load_report = LoadReport()
+        self.on_load_report: Callable[[LoadReport], None] = ignore_load_report
         self.last_heard = 0.0
         self.last_pinged = 0.0
         self.clock_offset = 0.0
@@ -309,7 +309,9 @@
         self.outbox.append(frame)
         self.open()
 
-    def resolve(self, number: int, outcome: Outcome, load_report: News | None) -> None:
+    def resolve(
+        self, number: int, outcome: Outcome, load_report: LoadReport | None
+    ) -> None:
         """Pass an outcome to the call that waits for it."""
         if load_report is not None:
             self.load_report = load_report
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -13,8 +13,8 @@
     from collections.abc import Callable
     from random import Random
 
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint
-    from sequoiaspoke.core.mesh.placing import News
     from sequoiaspoke.sidecar.frames import Dialer
     from sequoiaspoke.sidecar.gossip import Gossip
     from sequoiaspoke.sidecar.logs import EventLog
@@ -29,7 +29,7 @@
 REQUEST_PEERS, REQUEST_INTERVAL = 2, 0.5
 
 
-def ignore_host_load_report(host: str, load_report: News) -> None:
+def ignore_host_load_report(host: str, load_report: LoadReport) -> None:
     """Do nothing; the default until an entry takes the load reports."""
 
 
@@ -63,7 +63,7 @@
         self.log = log
         self.links: dict[str, LinkClient] = {}
         self.active_links: set[LinkClient] = set()
-        self.on_load_report: Callable[[str, News], None] = ignore_host_load_report
+        self.on_load_report: Callable[[str, LoadReport], None] = ignore_host_load_report
         self.last_request = float("-inf")
         self.reader_hosts: set[str] = set()
 
--- a/sequoiaspoke/sidecar/race.py
+++ b/sequoiaspoke/sidecar/race.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from sequoiaspoke.core.mesh.balancer import LoadReport
     from sequoiaspoke.core.mesh.model import Endpoint, Incarnation, Route
     from sequoiaspoke.core.mesh.outcome import Outcome, Request
-    from sequoiaspoke.core.mesh.placing import News
 
 # Statuses of an upstream after which an idempotent call is retried elsewhere.
 RETRYABLE_STATUSES = frozenset({500, 502, 503})
@@ -78,7 +78,7 @@
         progress: Progress,
         endpoint: Endpoint,
         race: Race,
-        on_end: Callable[[Attempt, Outcome, News], None],
+        on_end: Callable[[Attempt, Outcome, LoadReport], None],
         on_cancel: Callable[[Attempt], None],
     ) -> None:
         self.on_end = on_end
@@ -89,7 +89,7 @@
         self.finished = False
         self.cancel_at_home: Callable[[], None] | None = None
 
-    def finish(self, outcome: Outcome, report: News) -> None:
+    def finish(self, outcome: Outcome, report: LoadReport) -> None:
         """Take the outcome of the attempt and the load report sent with it."""
         if self.finished:
             return
--- a/sequoiaspoke/sidecar/upstream.py
+++ b/sequoiaspoke/sidecar/upstream.py
@@ -147,9 +147,9 @@
         """Return the outcome of a call by the status and headers of its answer."""
         self.reported_load = parse_load(find_header(answer.headers, self.names.load))
         if find_header(answer.headers, self.names.not_run):
-            return NotRun("upstream-refused", reached=True)
+            return NotRun("upstream-refused", from_upstream=True)
         if answer.status == 421:
-            return NotRun("instance-replaced", reached=True)
+            return NotRun("instance-replaced", from_upstream=True)
         success = 200 <= answer.status < 300
         if success and not find_header(answer.headers, self.names.stamp):
             return Unknown("answer-unstamped")
--- a/sequoiaspoke/sidecar/wirecalls.py
+++ b/sequoiaspoke/sidecar/wirecalls.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from sequoiaspoke.core.mesh.balancer import LoadReport
 from sequoiaspoke.core.mesh.model import Incarnation
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request, Unknown
-from sequoiaspoke.core.mesh.placing import News
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.crashwire import pack_crash, unpack_crash
 from sequoiaspoke.sidecar.homecall import HomeCall
@@ -60,7 +60,7 @@
     )
 
 
-def pack_outcome(number: int, outcome: Outcome, load_report: News) -> wire.Frame:
+def pack_outcome(number: int, outcome: Outcome, load_report: LoadReport) -> wire.Frame:
     """Return the frame for a call's outcome, with the home's load report."""
     if isinstance(outcome, Answer):
         answer = wire.Answer(
@@ -77,7 +77,7 @@
             number,
             outcome.reason,
             outcome.retry_after,
-            outcome.reached,
+            outcome.from_upstream,
             pack_load_report(load_report),
         )
         return wire.Frame(not_run=refusal)
@@ -87,7 +87,7 @@
     return wire.Frame(unknown=unknown)
 
 
-def unpack_outcome(frame: wire.Frame) -> tuple[int, Outcome, News | None] | None:
+def unpack_outcome(frame: wire.Frame) -> tuple[int, Outcome, LoadReport | None] | None:
     """Return a call's number, its outcome and the home's load report, if any.
 
     None if the frame holds no outcome.
@@ -114,14 +114,14 @@
     return None
 
 
-def pack_load_report(load_report: News) -> wire.News:
+def pack_load_report(load_report: LoadReport) -> wire.News:
     """Return the message for a home's load report."""
-    return wire.News(load_report.strain, load_report.expected, load_report.wait)
+    return wire.News(load_report.slowdown, load_report.expected, load_report.wait)
 
 
-def unpack_load_report(message: wire.News) -> News:
+def unpack_load_report(message: wire.News) -> LoadReport:
     """Return a home's load report from its message."""
-    return News(message.strain, message.expected, message.wait)
+    return LoadReport(message.strain, message.expected, message.wait)
 
 
 def flatten_headers(headers: Headers) -> list[str]:
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -1,8 +1,8 @@
-"""A mesh of sidecars on a virtual clock, with faults drawn from a seed.
+"""Simulate a mesh of sidecars on a virtual clock, with faults drawn from a seed.
 
-The entries, homes, links and the state of the platform are the program's own; the
-loop's clock, the connections between nodes and the upstreams are played. Nothing
-waits in real time, and one seed gives one history.
+The entries, homes, links and platform state are real code; the event loop's clock, the
+connections between nodes and the upstreams are simulated. Nothing waits in real time,
+and a seed always gives the same sequence of events.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from sequoiaspoke.core.mesh.model import Endpoint, MeshConfig, Route, Service
 from sequoiaspoke.core.mesh.outcome import Answer, NotRun, Request, Unknown
 from sequoiaspoke.core.mesh.reading import ReadingDuty
-from sequoiaspoke.core.mesh.repeats import RepeatLimits
+from sequoiaspoke.core.mesh.retrybudget import RetryLimits
 from sequoiaspoke.core.mesh.table import RouteTable
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
@@ -34,12 +34,12 @@
 SERVICE = "fleet"
 SLOTS = 3
 RATIO, SLACK, WINDOW = 0.05, 6.0, 10.0
-PATIENCE = 4.0  # seconds for which callers wait
-LATE = 0.5  # seconds beyond it after which an answer breaks the promise
+TIMEOUT = 4.0  # seconds for which callers wait
+LATE_TOLERANCE = 0.5  # seconds after the timeout from which an answer is a fault
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Turns waiting into a step of the clock."""
+    """Advances the clock instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -47,13 +47,13 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError("no event is scheduled")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock is the selector's."""
+    """An event loop that uses the selector's clock."""
 
     def __init__(self):
         self.virtual = VirtualSelector()
@@ -64,7 +64,7 @@
 
 
 class Pipe:
-    """One direction of a link: frames arrive in order after a delay."""
+    """One direction of a link, which delivers frames in order after a delay."""
 
     def __init__(self, world, ends):
         self.world = world
@@ -83,7 +83,7 @@
         loop.call_at(self.last, self.wake.set)
 
     async def pop(self):
-        """Return the next frame; None once the link has ended."""
+        """Return the next frame, or None after the end of the link."""
         loop = asyncio.get_running_loop()
         while True:
             cut = self.world.is_cut(*self.ends)
@@ -102,7 +102,7 @@
 
 
 class PipeFrames(FrameStream):
-    """Frames over two pipes."""
+    """Frames that are sent and read over two pipes."""
 
     def __init__(self, into, out):
         self.into, self.out = into, out
@@ -124,13 +124,13 @@
     def close(self):
         self.closed = True
         self.into.end()
-        # What was sent before the end still arrives, as on a real connection.
+        # Frames sent before the end still arrive, as on a real connection.
         loop = asyncio.get_running_loop()
         loop.call_at(max(loop.time(), self.out.last), self.out.end)
 
 
 class SimDialer(Dialer):
-    """Dials nodes of the same world."""
+    """Connects to nodes of the same simulation."""
 
     def __init__(self, world, host):
         self.world, self.host = world, host
@@ -152,30 +152,30 @@
 
 
 class SimUpstream:
-    """An upstream that outlives the node beside it."""
+    """An upstream that keeps running while its node is killed."""
 
     reported_load = None
 
     def __init__(self, world, instance):
         self.world, self.instance = world, instance
-        self.slow = 1.0
-        self.losing = 0.0
-        self.shedding = 0.0
+        self.slowdown = 1.0
+        self.losing_share = 0.0
+        self.shedding_share = 0.0
 
     async def call(self, request, instance, deadline, idempotent, on_send):
         on_send()
         rng, world = self.world.rng, self.world
         call_id = request.header("x-request-id")
         world.arrivals[call_id].append((self.instance, world.now()))
-        if rng.random() < self.shedding:
-            return NotRun("upstream-refused", 0.1, reached=True)
+        if rng.random() < self.shedding_share:
+            return NotRun("upstream-refused", 0.1, from_upstream=True)
         world.ran(call_id, self.instance)
         try:
-            await asyncio.sleep(self.slow * rng.uniform(0.05, 0.3))
+            await asyncio.sleep(self.slowdown * rng.uniform(0.05, 0.3))
         except asyncio.CancelledError:
-            world.broken_off[call_id] += 1
+            world.cancelled[call_id] += 1
             raise
-        if rng.random() < self.losing:
+        if rng.random() < self.losing_share:
             return Unknown("connection-lost")
         return Answer(200, (), call_id.encode(), 0.1)
 
@@ -187,7 +187,7 @@
 
 
 class SimItems(ItemDecoder):
-    """Items whose value is the endpoint's service."""
+    """Decoder of store items, whose keys are names of endpoints."""
 
     def __init__(self, world):
         self.world = world
@@ -206,7 +206,7 @@
 
 
 class SimNode:
-    """A node that can be killed and started again."""
+    """A node that can be killed and restarted."""
 
     def __init__(self, world, host, zone):
         self.world, self.host, self.zone = world, host, zone
@@ -229,7 +229,7 @@
         identity = LinkIdentity(self.host, self.zone, self.incarnation)
         dialer = SimDialer(world, self.host)
         self.peers = Peers(identity, 1, self.state, spread, rng, log, dialer)
-        limits = RepeatLimits(RATIO, SLACK, WINDOW)
+        limits = RetryLimits(RATIO, SLACK, WINDOW)
         self.entry = Entry(
             SERVICE, world.regions, HeaderNames(), self.state, self.home, self.peers,
             limits, rng, log,
@@ -261,7 +261,7 @@
             await asyncio.sleep(0.1)
 
     def kill(self):
-        """End as a killed process does: nothing is said, connections reset."""
+        """End like a killed process: send nothing and reset all connections."""
         self.up = False
         for link in list(self.server.links):
             link.stream.close()
@@ -281,9 +281,9 @@
 
 
 class MeshWorld:
-    """Nodes, callers and faults, and what was promised to the callers."""
+    """Nodes, callers and faults, with a check of the guarantees to callers."""
 
-    # Region of each zone; of none is anything known.
+    # Regions by zone; empty if not known.
     regions: ClassVar[dict[str, str]] = {}
 
     def __init__(self, seed, nodes=4):
@@ -295,7 +295,7 @@
         self.store_down = False
         self.runs = defaultdict(list)
         self.arrivals = defaultdict(list)
-        self.broken_off = Counter()
+        self.cancelled = Counter()
         self.answers = {}
         self.sent = {}
         self.problems = []
@@ -315,7 +315,7 @@
 
     def route(self, name):
         split = (WeightedService(SERVICE),)
-        return Route(name, "x", f"/{name}/", name == "read", PATIENCE, 0.5, 1, 2, split)
+        return Route(name, "x", f"/{name}/", name == "read", TIMEOUT, 0.5, 1, 2, split)
 
     def now(self):
         return asyncio.get_running_loop().time()
@@ -331,8 +331,8 @@
 
     # Callers.
 
-    async def caller(self, number):
-        """Make one call and check what comes back."""
+    async def make_call(self, number):
+        """Make one call and check its answer."""
         rng = self.rng
         host = rng.choice(list(self.nodes))
         node = self.nodes[host]
@@ -343,17 +343,17 @@
         headers = (
             ("Host", "x"),
             ("X-Request-Id", call_id),
-            ("X-Time-Left-Ms", str(int(PATIENCE * 1000))),
+            ("X-Time-Left-Ms", str(int(TIMEOUT * 1000))),
         )
         request = Request("GET", f"/{name}/1", headers, b"")
-        begun = self.sent[call_id] = self.now()
+        started = self.sent[call_id] = self.now()
         task = node.spawn(node.entry.handle(request))
         try:
             answer = await asyncio.shield(task)
         except asyncio.CancelledError:
-            # The entry was killed; its caller sees a closed connection.
+            # The entry was killed, so that its caller sees a closed connection.
             return
-        if self.now() - begun > PATIENCE + LATE:
+        if self.now() - started > TIMEOUT + LATE_TOLERANCE:
             self.problems.append(f"{call_id}: answered late")
         self.answers[call_id] = answer
         if answer.status == 200 and answer.body != call_id.encode():
@@ -362,11 +362,11 @@
     # Faults.
 
     async def faults(self, seconds):
-        """Bring one fault after the other, overlapping."""
+        """Cause random faults, which may overlap."""
         end = self.now() + seconds
         choices = [
-            self.reset_links, self.cut, self.kill, self.slow, self.lose, self.shed,
-            self.outage, self.silence,
+            self.reset_links, self.cut_link, self.kill_node, self.slow_upstream,
+            self.lose_answers, self.shed_calls, self.store_outage, self.silence_links,
         ]  # fmt: skip
         tasks = []
         while self.now() < end:
@@ -379,19 +379,19 @@
             there.end()
             back.end()
 
-    async def silence(self):
-        """Let a few links lie dead without a word."""
+    async def silence_links(self):
+        """Drop all frames of a few links without closing them."""
         for there, back in self.rng.sample(self.links, min(3, len(self.links))):
             for pipe in (there, back):
                 pipe.push = lambda frame: None
 
-    async def cut(self):
+    async def cut_link(self):
         pair = tuple(self.rng.sample(list(self.nodes), 2))
         self.cuts.add(pair)
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
         self.cuts.discard(pair)
 
-    async def kill(self):
+    async def kill_node(self):
         node = self.nodes[self.rng.choice(list(self.nodes))]
         if not node.up:
             return
@@ -399,27 +399,27 @@
         await asyncio.sleep(self.rng.uniform(0.02, 1.0))
         node.start()
 
-    async def slow(self):
-        await self.trouble("slow", self.rng.choice((4.0, 12.0)), 1.0)
+    async def slow_upstream(self):
+        await self.set_fault("slowdown", self.rng.choice((4.0, 12.0)), 1.0)
 
-    async def lose(self):
-        await self.trouble("losing", 0.4, 0.0)
+    async def lose_answers(self):
+        await self.set_fault("losing_share", 0.4, 0.0)
 
-    async def shed(self):
-        await self.trouble("shedding", 0.5, 0.0)
+    async def shed_calls(self):
+        await self.set_fault("shedding_share", 0.5, 0.0)
 
-    async def trouble(self, name, value, usual):
+    async def set_fault(self, name, value, usual):
         upstream = self.nodes[self.rng.choice(list(self.nodes))].upstream
         setattr(upstream, name, value)
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
         setattr(upstream, name, usual)
 
-    async def outage(self):
+    async def store_outage(self):
         self.store_down = True
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         self.store_down = False
 
-    # The whole.
+    # Run.
 
     async def play(self, seconds=12.0, rate=25.0):
         faults = asyncio.ensure_future(self.faults(seconds))
@@ -427,17 +427,17 @@
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(self.rng.expovariate(rate))
-            callers.append(asyncio.ensure_future(self.caller(len(callers))))
+            callers.append(asyncio.ensure_future(self.make_call(len(callers))))
         await asyncio.gather(*callers, faults)
         await asyncio.sleep(12.0)
-        self.judge()
+        self.check_guarantees()
         for node in self.nodes.values():
             if node.up:
                 node.kill()
         await asyncio.sleep(0)
 
-    def judge(self):
-        """Check the promises that hold over the whole history."""
+    def check_guarantees(self):
+        """Check the guarantees over all events."""
         for call_id, runs in self.runs.items():
             if call_id.startswith("order") and len(runs) > 1:
                 self.problems.append(f"{call_id}: ran {len(runs)} times")
@@ -446,33 +446,33 @@
         for call_id, answer in self.answers.items():
             ran = self.runs.get(call_id)
             if answer.status == 503 and ran:
-                self.problems.append(f"{call_id}: told as not run, and ran")
+                self.problems.append(f"{call_id}: refused as not run, but ran")
             if answer.status == 200 and not ran:
                 self.problems.append(f"{call_id}: answered without a run")
-        self.judge_repeats()
+        self.check_retries()
 
-    def judge_repeats(self):
-        again = sorted(
+    def check_retries(self):
+        retry_times = sorted(
             when for arrived in self.arrivals.values() for _, when in arrived[1:]
         )
-        for begin in again:
-            repeats = sum(begin <= when < begin + WINDOW for when in again)
-            firsts = max(
+        for begin in retry_times:
+            retries = sum(begin <= when < begin + WINDOW for when in retry_times)
+            first_attempts = max(
                 sum(since <= sent < since + WINDOW for sent in self.sent.values())
                 for since in (begin, begin - WINDOW / 2, begin - WINDOW)
             )
-            if repeats > RATIO * firsts + SLACK:
-                self.problems.append(f"{repeats} repeats for {firsts} calls")
+            if retries > RATIO * first_attempts + SLACK:
+                self.problems.append(f"{retries} retries for {first_attempts} calls")
                 return
 
 
 def play(seed, case, **options):
-    """Play a seed and return the world."""
+    """Run the simulation of a seed and return its world."""
     return play_world(lambda: MeshWorld(seed), case, **options)
 
 
 def play_world(make, case, **options):
-    """Make a world on a virtual clock, play it and return it."""
+    """Create a world on a virtual clock, run it and return it."""
     loop = VirtualLoop()
     case.patch(clock, "now", loop.time)
     try:
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -5,16 +5,16 @@
 
 from testtools import TestCase
 
+from sequoiaspoke.core.mesh.balancer import Balancer, LoadReport
 from sequoiaspoke.core.mesh.directory import Directory
 from sequoiaspoke.core.mesh.model import (
     Departure,
     Endpoint,
     Incarnation,
-    Published,
+    PublishedEndpoint,
     Route,
 )
 from sequoiaspoke.core.mesh.outcome import Answer, Request, Unknown
-from sequoiaspoke.core.mesh.placing import News, Placing
 from sequoiaspoke.core.mesh.stateupdate import StateUpdate
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.sidecar import clock
@@ -62,7 +62,7 @@
         for stale in (OLD, replace(OLD, draining=True)):
             self.assertFalse(self.directory.put(stale, 20, 1.0))
             self.assertFalse(self.directory.put(stale, 21, 1.0, from_peer=True))
-        self.directory.reconcile([Published(OLD, 22)], 30, 1.0, trusted=True)
+        self.directory.reconcile([PublishedEndpoint(OLD, 22)], 30, 1.0, trusted=True)
         self.assertEqual(self.serving(), [NEW.incarnation])
 
     def test_a_lagging_node_does_not_restore_an_earlier_incarnation(self):
@@ -164,7 +164,7 @@
     def test_it_does_not_depart_by_a_complete_list(self):
         # The store is read completely. If the endpoint counted as departed, its home
         # would refuse the calls already sent to it.
-        listed = [Published(OTHER, 6)]
+        listed = [PublishedEndpoint(OTHER, 6)]
         self.directory.reconcile(listed, 9, 1.0, unreadable=[("i-1", 7)])
         self.assertEqual(self.serving(), {"i-2"})
         self.assertFalse(self.directory.is_leaving(OLD.incarnation))
@@ -192,7 +192,10 @@
             revision=9,
             as_of=40.0,
             is_snapshot=False,
-            endpoints=(Published(NEW, 8), Published(OTHER, 6, readable=False)),
+            endpoints=(
+                PublishedEndpoint(NEW, 8),
+                PublishedEndpoint(OTHER, 6, readable=False),
+            ),
             departures=(Departure("i-3", FIRST, 7, True),),
             lapsing=(Departure("i-4", LATER, 8),),
             config=None,
@@ -204,13 +207,15 @@
     def test_failures_of_an_earlier_incarnation_do_not_count(self):
         # An upstream failed every call and was restarted. If the failures still counted
         # against it, it would stay idle while others are overloaded.
-        placing = Placing("akaki")
+        placing = Balancer("akaki")
         split = (WeightedService("fleet"),)
         route = Route("a", "x", "/a/", True, 2.0, 0.6, 1, 2, split)
-        placing.load(OTHER.incarnation, "a", News(expected=0.1), 1.0)
-        placing.load(OLD.incarnation, "a", News(expected=0.1, strain=9.0), 1.0)
+        placing.record_load(OTHER.incarnation, "a", LoadReport(expected=0.1), 1.0)
+        placing.record_load(
+            OLD.incarnation, "a", LoadReport(expected=0.1, slowdown=9.0), 1.0
+        )
         for _ in range(4):
-            placing.failed(OLD.incarnation, 1.0)
+            placing.record_failure(OLD.incarnation, 1.0)
 
         def choose(first):
             ends = (first, OTHER)
@@ -219,7 +224,7 @@
         self.assertEqual(choose(OLD), OTHER.incarnation)
         self.assertEqual(choose(NEW), NEW.incarnation)
         placing.retain([NEW.incarnation, OTHER.incarnation])
-        self.assertEqual(set(placing.seen), {NEW.incarnation, OTHER.incarnation})
+        self.assertEqual(set(placing.stats), {NEW.incarnation, OTHER.incarnation})
 
 
 class RestartingUpstream:
--- a/sequoiaspoke/tests/test_mesh_quarantine.py
+++ b/sequoiaspoke/tests/test_mesh_quarantine.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from sequoiaspoke.core.mesh import crashes
-from sequoiaspoke.core.mesh.admission import Admission, Arrival, Turned
+from sequoiaspoke.core.mesh.admission import Admission, Arrival, RefusalReason
 from sequoiaspoke.core.mesh.crashes import (
     KEEP_SECONDS,
     PROVEN_KEEP_SECONDS,
@@ -186,4 +186,4 @@
             self.arrive(admission, str(number), NOW + 1.0) for number in range(50)
         ]
         reasons = {each.reason for each in refused if each is not None}
-        self.assertEqual(reasons, {Turned.NO_TIME})
+        self.assertEqual(reasons, {RefusalReason.NO_TIME})
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -12,7 +12,7 @@
     Departure,
     Endpoint,
     MeshConfig,
-    Published,
+    PublishedEndpoint,
     Route,
     Service,
 )
@@ -250,7 +250,7 @@
     def test_a_removed_entry_is_not_taken_from_a_lagging_node(self):
         # A node starts and reads the store after an upstream has left. A peer that has
         # not learned of the departure yet sends the new node its snapshot.
-        self.directory.reconcile([Published(endpoint("i-2"), 6)], 9, 10.0)
+        self.directory.reconcile([PublishedEndpoint(endpoint("i-2"), 6)], 9, 10.0)
         self.directory.complete_to = 9
         self.assertFalse(self.directory.put(endpoint("i-1"), 5, 11.0, from_peer=True))
         self.assertTrue(self.directory.put(endpoint("i-3"), 10, 11.0, from_peer=True))
