--- a/sequoiaspoke/tests/crashsim.py
+++ b/sequoiaspoke/tests/crashsim.py
@@ -270,7 +270,9 @@
         return {
             fingerprint
             for node in self.nodes.values()
-            for crash in node.sidecar.home.crash_guard.quarantine.crashes.by_name.values()
+            for crash in (
+                node.sidecar.home.crash_guard.quarantine.crashes.by_name.values()
+            )
             for fingerprint in crash.uncleared_proven
         }
 
--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -11,7 +11,7 @@
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.frames import TcpDialer
 from sequoiaspoke.sidecar.gossip import Gossip
-from sequoiaspoke.sidecar.home import Home
+from sequoiaspoke.sidecar.home import CANCEL_SECONDS, Home
 from sequoiaspoke.sidecar.homecall import HomeCall
 from sequoiaspoke.sidecar.linkclient import RECENT_SECONDS, LinkClient
 from sequoiaspoke.sidecar.linkserver import LinkServer
