--- a/sequoiaspoke/tests/test_meshlink.py
+++ b/sequoiaspoke/tests/test_meshlink.py
@@ -183,7 +183,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_call_that_waited_for_a_sign_is_not_sent_twice(self):
+    def test_a_call_held_until_the_home_answers_is_not_sent_twice(self):
         # An idle link is dead, so that the next call is held for an answer to a ping.
         # Meanwhile the link's end is detected and another one is opened. If the call
         # were sent on that one and then reported as not run, because no answer came,
@@ -204,7 +204,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_call_to_a_home_that_forgot_it_is_told_as_unknown(self):
+    def test_a_call_to_a_restarted_home_is_unknown(self):
         # The home is killed while it runs a call, and starts again without knowing of
         # it. If the call ran again, or were reported as not run and retried by the
         # caller, it might run twice.
@@ -225,7 +225,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_caller_that_leaves_stops_what_may_be_repeated(self):
+    def test_a_caller_that_leaves_cancels_an_idempotent_call(self):
         # Without the cancellation the upstream would go on with a call whose answer
         # nobody reads.
         async def scenario(world):
@@ -237,7 +237,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_call_that_is_cancelled_as_it_comes_holds_no_slot(self):
+    def test_a_call_that_is_cancelled_before_it_starts_holds_no_slot(self):
         # After a stall of the link a call and its cancellation arrive together. A call
         # that was cancelled before it had started kept its slot for good.
         async def scenario(world):
@@ -252,7 +252,7 @@
 
         self.run_scenario(scenario)
 
-    def test_the_slot_of_a_cancelled_call_is_free_only_after_a_moment(self):
+    def test_the_slot_of_a_cancelled_call_is_free_only_after_a_delay(self):
         # The upstream drops a cancelled call when it sees its connection close. A call
         # sent before that would be one more than it can run.
         async def scenario(world):
@@ -267,7 +267,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_caller_that_leaves_does_not_break_off_what_may_run_once(self):
+    def test_a_caller_that_leaves_does_not_cancel_a_call_that_may_run_only_once(self):
         async def scenario(world):
             call = world.start_call()
             await world.until(lambda: world.upstream.runs)
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -119,7 +119,7 @@
         self.reader, self.other = Node("10.0.0.1"), Node("10.0.0.2")
         self.reader.read(10, config=3, i_1=4, i_2=4)
 
-    def test_a_subscriber_is_told_all_and_then_what_changes(self):
+    def test_a_subscriber_is_sent_everything_and_then_changes(self):
         stream = self.other.follow(self.reader)
         self.assertEqual(self.other.knows(), (3, {"i-1": 4, "i-2": 4}))
         self.reader.read(12, config=5, i_3=9)
@@ -133,7 +133,7 @@
         self.assertIsNone(third.config)
         self.assertEqual(self.other.state.table.config, self.reader.state.table.config)
 
-    def test_a_confirmation_without_news_is_told(self):
+    def test_a_confirmation_without_changes_is_sent(self):
         stream = self.other.follow(self.reader)
         self.time += 0.9
         self.reader.state.confirmed_as_of(self.time)
@@ -141,7 +141,7 @@
         self.assertEqual(self.other.duty.confirmed, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
-    def test_a_whole_list_is_one_line_that_is_the_same_at_every_node(self):
+    def test_many_endpoints_are_logged_as_one_line_with_a_digest(self):
         # A node that starts in a fleet of 200 would log 200 lines, of which the limit
         # lets 20 through. The digest is the same at every node.
         lines = []
@@ -156,12 +156,12 @@
         log_endpoints(again.log, again.directory, 0, "again")
         self.assertEqual(lines[-1][1]["digest"], many[1]["digest"])
 
-    def test_nothing_is_told_twice(self):
+    def test_nothing_is_sent_twice(self):
         stream = self.other.follow(self.reader)
         self.reader.spread.publish()
         self.assertEqual(len(stream.frames), 1)
 
-    def test_a_configuration_is_told_by_one_reader_first(self):
+    def test_a_large_configuration_is_sent_by_one_reader_first(self):
         # If both readers send 1,680 new routes to each of 27 nodes, links of 2.5 Mbit/s
         # take 2.2 s, and departures of upstreams are delayed as long.
         self.patch(spread, "LARGE_CHANGE_ROUTES", 0)
@@ -175,7 +175,7 @@
         told = [frame.knowledge for frame in stream.frames if frame.knowledge]
         self.assertEqual([each.config is None for each in told], [False, True])
 
-    def test_the_second_reader_tells_who_did_not_hear_from_the_first(self):
+    def test_the_second_reader_sends_what_the_first_did_not(self):
         # The first reader is killed just after it has read a version.
         self.patch(spread, "LARGE_CHANGE_ROUTES", 0)
         self.time += 1.0
@@ -186,7 +186,7 @@
         self.reader.spread.tick(self.time)
         self.assertEqual(self.other.state.version, 5)
 
-    def test_a_word_that_was_long_on_its_way_is_as_old_as_that(self):
+    def test_a_delayed_message_counts_from_when_it_was_sent(self):
         # A link is cut, or saturated by a large configuration, and a reader's message
         # arrives seconds late. If it were taken for fresh, the node would trust its
         # readers for another 1.4 s, and go on sending calls to an upstream that has
@@ -214,14 +214,14 @@
         self.assertEqual(self.other.state.as_of, self.time - 3.0)
         self.assertTrue(self.other.duty.must_read(self.time))
 
-    def test_a_small_change_is_told_by_both_readers_at_once(self):
+    def test_a_small_change_is_sent_by_both_readers_at_once(self):
         # If it were deferred, it would be late when the first reader is killed.
         self.time += 1.0
         self.other.follow(self.reader, first=False)
         self.reader.read(12, config=5)
         self.assertEqual(self.other.state.version, 5)
 
-    def test_a_reader_that_is_behind_takes_nothing_back_from_who_is_ahead(self):
+    def test_a_reader_that_is_behind_does_not_revert_a_newer_subscriber(self):
         stream = self.other.follow(self.reader)
         self.other.read(14, config=7)
         self.reader.spread.update_held_version(stream, wire.Holds(7, True))
@@ -231,7 +231,7 @@
         self.reader.read(15, config=8)
         self.assertEqual(self.other.state.version, 8)
 
-    def test_that_nothing_has_changed_is_told_in_a_few_bytes(self):
+    def test_a_confirmation_takes_a_few_bytes(self):
         # Each node receives it twice a second from its readers, and does little else
         # while it has no calls.
         stream = self.other.follow(self.reader)
@@ -243,7 +243,7 @@
         self.assertEqual(self.other.state.as_of, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
 
-    def test_a_reader_that_has_news_to_read_does_not_vouch_for_what_it_knows(self):
+    def test_a_reader_with_unread_changes_does_not_confirm_its_knowledge(self):
         # While several versions a second are written, a reader on a narrow link reads
         # the newest once a second, and asks the store for its revision in between. When
         # that counted as a confirmation of what it knew, a caller was answered that a
@@ -260,7 +260,7 @@
         self.reader.read(11)
         self.assertFalse(self.other.state.may_lack_a_route(self.time))
 
-    def test_a_confirmation_tells_of_entries_that_may_be_gone(self):
+    def test_a_confirmation_lists_endpoints_that_may_be_gone(self):
         # An upstream's endpoint vanished when the store came back. Until it is known
         # whether it is gone for good, each confirmation repeats it.
         stream = self.other.follow(self.reader)
@@ -270,7 +270,7 @@
         self.reader.read(11)
         self.assertEqual(len(stream.frames[-1].knowledge.lapsing), 1)
 
-    def test_what_is_learnt_is_no_confirmation_of_ones_own(self):
+    def test_nodes_do_not_confirm_what_they_learnt_from_each_other(self):
         # If two nodes that follow each other confirmed each other's knowledge, both
         # would go on acting on it after the store has changed.
         back = self.reader.follow(self.other)
@@ -282,7 +282,7 @@
         told = [self.time - 60.0 == f.knowledge.as_of for f in back.frames]
         self.assertEqual(told, [True])
 
-    def test_what_is_older_takes_nothing_back(self):
+    def test_older_knowledge_reverts_nothing(self):
         # A reader that was cut off for a while sends what it knows to a node that has
         # followed the other reader. If the node applied it unchecked, an older version
         # would come into force again, and an upstream that has left would get calls.
@@ -296,7 +296,7 @@
         self.assertEqual(self.other.knows(), before)
         self.assertEqual(before, (6, {"i-1": 4, "i-4": 4}))
 
-    def test_a_change_of_another_version_is_asked_for_whole(self):
+    def test_a_delta_to_another_version_is_requested_whole(self):
         # In a burst of changes the two readers read different versions.
         self.other.read(11, config=4)
         stream = RecordingStream()
@@ -309,7 +309,7 @@
         self.assertTrue(self.other.spread.learn(answer, 0.0))
         self.assertEqual(self.other.state.version, 6)
 
-    def test_only_what_is_better_is_answered(self):
+    def test_only_newer_knowledge_is_answered(self):
         # During an outage of the store all nodes ask each other twice a second.
         self.other.follow(self.reader)
         self.time += 10.0
@@ -334,7 +334,7 @@
         for node in (self.reader, self.other):
             self.assertEqual(node.knows()[1], {"i-2": 4})
 
-    def test_a_reader_that_was_cut_off_makes_nobody_else_doubt(self):
+    def test_a_reader_that_was_cut_off_delays_no_departure_elsewhere(self):
         healthy = Node("10.0.0.3")
         healthy.read(10, config=3, i_1=4, i_2=4)
         self.other.follow(self.reader)
@@ -363,14 +363,14 @@
         self.other.state.take_changes(Changes((StoreItem("i-1", None, 30),), 30))
         self.assertNotIn("i-1", self.other.state.directory.held)
 
-    def test_how_long_an_upstream_stays_cold_is_told(self):
+    def test_the_rest_of_a_cold_start_is_sent(self):
         self.time += 2.0
         self.other.follow(self.reader)
         cold = self.other.state.directory.cold
         self.assertTrue(cold("i-1", self.time + 0.4))
         self.assertFalse(cold("i-1", self.time + 0.6))
 
-    def test_a_configuration_that_is_no_use_is_an_error(self):
+    def test_a_malformed_configuration_is_an_error(self):
         for packed in (b"", b"x" * 40, b"x\x9c\x03\x00\x00\x00\x00\x01"):
             self.assertRaises(MessageError, unpack_config, packed)
 
@@ -428,7 +428,7 @@
         while not check():
             await asyncio.sleep(0.02)
 
-    def test_a_store_without_news_confirms(self):
+    def test_a_store_without_changes_confirms(self):
         async def scenario(node, store):
             await self.until_true(lambda: store.confirmed >= 2)
             self.assertTrue(node.state.age(clock.now()) < CONFIRM_SECONDS + 5.0)
@@ -448,7 +448,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_wait_that_misses_a_change_is_begun_anew(self):
+    def test_a_wait_that_misses_a_change_is_started_again(self):
         # The connection on which a reader waits is dead while new ones work: the store
         # confirms that it is reachable, with a newer revision.
         async def scenario(node, store):
