--- a/sequoiaspoke/measure/costplayed.py
+++ b/sequoiaspoke/measure/costplayed.py
@@ -41,7 +41,7 @@
     def cancel(self, key: Hashable) -> None:
         """Do nothing: every call has its answer."""
 
-    def news(self, route: str = "", rank: int = 0) -> News:  # noqa: ARG002
+    def load_report(self, route: str = "", rank: int = 0) -> News:  # noqa: ARG002
         """Return that there is no load."""
         return News(1.0, 0.01, 0.0)
 
