--- a/sequoiaspoke/tests/test_sidecar_home.py
+++ b/sequoiaspoke/tests/test_sidecar_home.py
@@ -69,7 +69,7 @@
         self.home.tick(self.time)
         await asyncio.sleep(0)
 
-    def test_calls_that_wait_for_it_are_refused_while_others_can_serve_them(self):
+    def test_queued_calls_for_a_draining_upstream_are_refused(self):
         # The end of a long queue would reach a draining upstream just before it exits,
         # and be interrupted there. Refused in time, it can be served elsewhere.
         async def scenario():
--- a/sequoiaspoke/tests/test_sidecar_upstream.py
+++ b/sequoiaspoke/tests/test_sidecar_upstream.py
@@ -116,7 +116,7 @@
         self.assertEqual(self.raw.connections, 1)
         self.assertIn("x-instance: i-1", self.raw.requests[0])
 
-    def test_an_answer_cut_short_is_not_an_answer(self):
+    def test_a_truncated_answer_is_an_unknown_outcome(self):
         # The upstream announces 10 bytes, sends 3 and closes the connection. The caller
         # could not tell the part from a complete answer.
         cut = answer("c0", "0123456789")[:-7]
@@ -133,7 +133,7 @@
         (outcome,) = self.play([text, 0.1, None])
         self.assertIsInstance(outcome, Unknown)
 
-    def test_a_second_answer_is_never_taken_for_the_next_call(self):
+    def test_a_second_answer_is_not_used_for_the_next_call(self):
         # The upstream answers one call twice. If the next call on this connection
         # got the second answer, its caller would see the wrong page.
         twice = answer("c0") + answer("c0", "again")
@@ -166,7 +166,7 @@
         self.assertEqual(outcomes[1].status, 200)
         self.assertEqual(self.raw.connections, 2)
 
-    def test_what_the_upstream_did_not_run_is_told_as_not_run(self):
+    def test_refusals_of_the_upstream_are_reported_as_not_run(self):
         shed = answer("c0", status=503, headers="X-Not-Run: 1\r\n")
         replaced = answer("c1", status=421, headers="")
         outcomes = self.play([shed], [replaced])
