--- a/sequoiaspoke/measure/cost.py
+++ b/sequoiaspoke/measure/cost.py
@@ -145,7 +145,7 @@
     def install(self, config: MeshConfig) -> None:
         """Put a configuration into force at the played readers."""
         self.state.install(config)
-        self.state.confirmed(self.state.revision + 1, clock.now())
+        self.state.record_complete(self.state.revision + 1, clock.now())
 
     async def ready(self) -> bool:
         """Return whether the node serves."""
@@ -232,7 +232,7 @@
         """Let the node be, but for its readers' confirmations."""
         begun = time.monotonic()
         while time.monotonic() < begun + IDLE_SECONDS:
-            self.state.confirmed_as_of(clock.now())
+            self.state.record_complete_as_of(clock.now())
             await asyncio.sleep(CONFIRM_SECONDS)
 
     async def endpoint_changes(self) -> None:
@@ -242,7 +242,7 @@
             cold = replace(endpoint, cold_seconds=float(number))
             revision = self.state.revision + 1
             self.state.directory.put(cold, revision, clock.now())
-            self.state.confirmed(revision, clock.now())
+            self.state.record_complete(revision, clock.now())
             await asyncio.sleep(CHANGE_GAP)
 
     async def config_changes(self) -> None:
--- a/sequoiaspoke/measure/meshmodel.py
+++ b/sequoiaspoke/measure/meshmodel.py
@@ -127,8 +127,8 @@
     """An entry, which knows of homes what their answers told."""
 
     def __init__(self, zone: str, rng: random.Random) -> None:
-        self.placing = Balancer(zone)
-        self.sample = Sampler(rng)
+        self.balancer = Balancer(zone)
+        self.sampler = Sampler(rng)
         self.zone = zone
 
 
@@ -232,10 +232,10 @@
         homes = self.homes
         usable = [h.endpoint for h in homes.values() if not h.evacuated]
         near = [each for each in usable if each.zone == call.entry.zone]
-        drawn = call.entry.sample.candidates(
+        drawn = call.entry.sampler.candidates(
             usable, near, lambda each: each.instance not in call.tried
         )
-        chosen = call.entry.placing.choose(
+        chosen = call.entry.balancer.choose(
             ROUTE,
             drawn,
             lambda name: homes[name].cold_until > self.now,
@@ -245,7 +245,7 @@
         if chosen is None or len(call.tried) >= MOST_TRIED:
             return
         call.tried.add(chosen.instance)
-        call.entry.placing.begin(chosen.incarnation)
+        call.entry.balancer.begin(chosen.incarnation)
         self.submit(homes[chosen.instance], call)
 
     def submit(self, home: MeshHome, call: Call) -> None:
@@ -299,7 +299,7 @@
         home.admission.finish(call.number, True, self.now)
         self.tell(home, call)
         start = home.endpoint.incarnation
-        call.entry.placing.record_answer(ROUTE.name, start, work, 0)
+        call.entry.balancer.record_answer(ROUTE.name, start, work, 0)
         second = int(call.begun)
         self.result.served[second] += 1
         self.result.on_time[second] += self.now - call.begun <= OBJECTIVE
@@ -326,8 +326,10 @@
     def tell(self, home: MeshHome, call: Call) -> None:
         """Tell an entry of a home's load with what came of its call."""
         start = home.endpoint.incarnation
-        call.entry.placing.end(start)
-        call.entry.placing.record_load(start, ROUTE.name, home.news(self.now), self.now)
+        call.entry.balancer.end(start)
+        call.entry.balancer.record_load(
+            start, ROUTE.name, home.news(self.now), self.now
+        )
 
 
 def play_mesh(name: str, seeds: int) -> list[MeshResult]:
--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -45,7 +45,7 @@
 PAUSE_SECONDS = 1.0
 # Fraction of the time within which a version must be in force. A node that was not
 # confirmed for longer no longer answers that a route does not exist.
-DENY_FRACTION = 0.75
+NO_ROUTE_AGE_FRACTION = 0.75
 # Seconds for which a stopping node keeps serving without calls in progress. Callers are
 # moved away after two readiness checks, a second apart, have failed.
 LINGER_SECONDS = 2.6
@@ -70,7 +70,7 @@
         self.log = EventLog(settings.names.call_id)
         self.incarnation = rng.getrandbits(62)
         self.state = MeshState(decoder, self.log, self.on_state_change)
-        self.state.deny_after = DENY_FRACTION * settings.act_within
+        self.state.max_no_route_age = NO_ROUTE_AGE_FRACTION * settings.act_within
         host, port = settings.upstream
         self.upstream = Upstream(host, port, settings.names)
         self.home = Home(self.upstream, self.state.directory, self.log)
@@ -189,9 +189,10 @@
         self.spread.follow_readers(self.peers)
         self.peers.refresh()
         incarnations = (
-            held.endpoint.incarnation for held in self.state.directory.records.values()
+            record.endpoint.incarnation
+            for record in self.state.directory.records.values()
         )
-        self.entry.attempts.placing.retain(incarnations)
+        self.entry.attempts.balancer.retain(incarnations)
 
     def listen(self) -> None:
         """Listen on the addresses of the settings."""
--- a/sequoiaspoke/sidecar/attempts.py
+++ b/sequoiaspoke/sidecar/attempts.py
@@ -55,8 +55,8 @@
         self.regions = regions
         self.log = log
         self.deadlines = Deadlines()
-        self.placing = Balancer(peers.identity.zone)
-        self.sample = Sampler(peers.rng)
+        self.balancer = Balancer(peers.identity.zone)
+        self.sampler = Sampler(peers.rng)
         self.budgets = RetryBudgets(retry_limits)
         self.reasons: Counter[str] = Counter()
         self.local_calls = 0
@@ -73,7 +73,7 @@
             return self.suspect_endpoint(progress)
         now = clock.now()
         directory = self.state.directory
-        return self.placing.choose(
+        return self.balancer.choose(
             progress.route,
             self.candidates(progress),
             lambda instance: directory.is_cold(instance, now),
@@ -98,7 +98,7 @@
         """Return a sample of the eligible endpoints to choose from."""
         group = self.state.directory.group(progress.service)
         same_zone = group.in_zone(self.peers.identity.zone)
-        return self.sample.candidates(
+        return self.sampler.candidates(
             group.endpoints, same_zone, lambda each: self.eligible(progress, each)
         )
 
@@ -150,7 +150,7 @@
         hedge_timer = None
         if self.may_hedge(progress) and not race.result.done():
             now = clock.now()
-            delay = self.placing.hedge_delay(progress.route.name, endpoint, now)
+            delay = self.balancer.hedge_delay(progress.route.name, endpoint, now)
             hedge_timer = self.deadlines.call_at(
                 now + delay, partial(self.hedge, progress, race)
             )
@@ -179,7 +179,7 @@
             progress, endpoint, race, self.attempt_ended, self.attempt_cancelled
         )
         race.attempts.append(attempt)
-        self.placing.begin(endpoint.incarnation)
+        self.balancer.begin(endpoint.incarnation)
         self.send_to_home(attempt)
 
     def hedge(self, progress: Progress, race: Race) -> None:
@@ -245,19 +245,19 @@
         incarnation, now = attempt.endpoint.incarnation, clock.now()
         if isinstance(outcome, Unknown) and outcome.crash is not None:
             self.home.crash_guard.record_reports([outcome.crash])
-        self.placing.end(incarnation)
-        self.placing.record_load(incarnation, attempt.progress.route.name, report, now)
+        self.balancer.end(incarnation)
+        self.balancer.record_load(incarnation, attempt.progress.route.name, report, now)
         self.record_outcome(attempt.progress, incarnation, outcome, now)
 
     def attempt_cancelled(self, attempt: Attempt) -> None:
         """Note that an attempt was cancelled."""
-        self.placing.end(attempt.endpoint.incarnation)
+        self.balancer.end(attempt.endpoint.incarnation)
 
     def load_reported(self, host: str, report: LoadReport) -> None:
         """Take a load report that a home sent without an answer."""
         now = clock.now()
         for endpoint in self.state.directory.at_host(host):
-            self.placing.record_load(endpoint.incarnation, "", report, now)
+            self.balancer.record_load(endpoint.incarnation, "", report, now)
 
     def record_outcome(
         self, progress: Progress, incarnation: Incarnation, outcome: Outcome, now: float
@@ -265,11 +265,11 @@
         """Update the statistics of an upstream with the outcome of an attempt."""
         if isinstance(outcome, Answer):
             if outcome.status in RETRYABLE_STATUSES:
-                self.placing.record_failure(incarnation, now)
+                self.balancer.record_failure(incarnation, now)
             else:
                 size = len(progress.request.body) + len(outcome.body)
-                self.placing.record_answer(
+                self.balancer.record_answer(
                     progress.route.name, incarnation, outcome.seconds, size
                 )
         elif isinstance(outcome, Unknown) or outcome.from_upstream:
-            self.placing.record_failure(incarnation, now)
+            self.balancer.record_failure(incarnation, now)
--- a/sequoiaspoke/sidecar/changelog.py
+++ b/sequoiaspoke/sidecar/changelog.py
@@ -19,18 +19,18 @@
     log: EventLog, directory: Directory, serial: int, source: str
 ) -> None:
     """Log the endpoints that were added, changed or removed since a serial."""
-    held, gone = directory.changed_since(serial)
-    if len(held) + len(gone) > MAX_LINES:
-        names = (f"{e.endpoint.instance}/{e.endpoint.born}" for e in held)
+    records, departures = directory.changed_since(serial)
+    if len(records) + len(departures) > MAX_LINES:
+        names = (f"{e.endpoint.instance}/{e.endpoint.born}" for e in records)
         log.event(
             "endpoints",
-            taken=len(held),
-            gone=len(gone),
+            taken=len(records),
+            gone=len(departures),
             digest=f"{hash_of(*sorted(names)):016x}",
             source=source,
         )
         return
-    for each in held:
+    for each in records:
         log.event(
             "endpoint",
             instance=each.endpoint.instance,
@@ -41,7 +41,7 @@
             revision=each.revision,
             source=source,
         )
-    for each in gone:
+    for each in departures:
         log.event(
             "endpoint-gone",
             instance=each.instance,
@@ -58,8 +58,8 @@
     zones = directory.grouping.excluded_zones
     for zone in sorted(zones - before):
         # Zero if no known endpoint is in a zone of that name.
-        held = directory.records.values()
-        endpoints = sum(each.endpoint.zone == zone for each in held)
+        records = directory.records.values()
+        endpoints = sum(each.endpoint.zone == zone for each in records)
         log.event("zone-evacuated", zone=zone, endpoints=endpoints, source=source)
     for zone in sorted(before - zones):
         log.event("zone-taken-back", zone=zone, source=source)
--- a/sequoiaspoke/sidecar/coldmonitor.py
+++ b/sequoiaspoke/sidecar/coldmonitor.py
@@ -58,11 +58,11 @@
         self.service = service
         self.cold_start.max_calls = limits.max_calls(service.cold_rate)
 
-    def update_from_endpoint(self, held: EndpointRecord) -> None:
+    def update_from_endpoint(self, record: EndpointRecord) -> None:
         """Apply the cold state that the endpoint shows, once per revision."""
-        if held.revision != self.endpoint_revision:
-            self.endpoint_revision = held.revision
-            self.cold_start.record_published(held.cold_until)
+        if record.revision != self.endpoint_revision:
+            self.endpoint_revision = record.revision
+            self.cold_start.record_published(record.cold_until)
 
     def assume_cold(self, now: float) -> None:
         """Treat the upstream as cold until it reports its state."""
--- a/sequoiaspoke/sidecar/crashguard.py
+++ b/sequoiaspoke/sidecar/crashguard.py
@@ -50,10 +50,10 @@
         A draining upstream exits even if calls still run there, so that no request may
         be suspected for it.
         """
-        held = self.directory.records.get(incarnation.instance)
-        if held is None or self.directory.is_leaving(incarnation):
+        record = self.directory.records.get(incarnation.instance)
+        if record is None or self.directory.is_leaving(incarnation):
             return ""
-        return held.endpoint.service
+        return record.endpoint.service
 
     def suspected(self, service: str, request: Request) -> bool:
         """Return whether a request is a suspect and may not run beside others."""
--- a/sequoiaspoke/sidecar/entry.py
+++ b/sequoiaspoke/sidecar/entry.py
@@ -164,7 +164,7 @@
         If the configuration may be out of date, a newer one may have the route: the
         call is refused with 503 instead of answered with 404.
         """
-        if self.state.may_lack_a_route(clock.now()):
+        if self.state.may_lack_route(clock.now()):
             return self.refuse(request, "no-fresh-configuration", RETRY_AFTER_SECONDS)
         self.counts["", "404"] += 1
         self.log.call(
@@ -196,7 +196,7 @@
         accepted in its last seconds would be cut off by the exit, and the caller would
         not know whether it ran.
         """
-        usual = self.attempts.placing.mean_seconds.get(route.name, INITIAL_ESTIMATE)
+        usual = self.attempts.balancer.mean_seconds.get(route.name, INITIAL_ESTIMATE)
         return now + LONGEST_CALL_FACTOR * usual > self.closes_at
 
     def forwarded(self, request: Request) -> Request:
--- a/sequoiaspoke/sidecar/home.py
+++ b/sequoiaspoke/sidecar/home.py
@@ -89,7 +89,7 @@
         self.incarnation: Incarnation | None = None
         self.last_load: Load | None = None
         self.outage_log = OutageLog(log)
-        self.leavers = LeavingUpstreams(directory.is_leaving)
+        self.leaving_upstreams = LeavingUpstreams(directory.is_leaving)
         self.counts: Counter[str] = Counter()
 
     def submit(
@@ -344,7 +344,7 @@
         self.upstream.tick(now)
         self.cold_monitor.probe_if_due(now)
         if not self.admission.waiting:
-            self.leavers.clear()
+            self.leaving_upstreams.clear()
             return
         for refused in self.admission.drop_overdue(now):
             self.refuse(refused)
@@ -359,7 +359,7 @@
         """
         waiting = list(self.admission.queue.values())
         incarnations = {self.calls[each.ticket].call.incarnation for each in waiting}
-        overdue = self.leavers.overdue(incarnations, now)
+        overdue = self.leaving_upstreams.overdue(incarnations, now)
         for arrival in waiting:
             if self.calls[arrival.ticket].call.incarnation in overdue:
                 self.admission.cancel(arrival.ticket)
@@ -409,9 +409,9 @@
             # reset, would have an unknown outcome.
             self.admission.restarted()
             self.upstream.close_idle_connections()
-        held = self.directory.records.get(endpoint.instance)
-        if held is not None:
-            self.cold_monitor.update_from_endpoint(held)
+        record = self.directory.records.get(endpoint.instance)
+        if record is not None:
+            self.cold_monitor.update_from_endpoint(record)
         if endpoint.slots != self.admission.upstream_slots.published:
             self.set_slots(endpoint.slots)
 
--- a/sequoiaspoke/sidecar/logs.py
+++ b/sequoiaspoke/sidecar/logs.py
@@ -23,7 +23,7 @@
 STDOUT = 1
 # Lines a second of one kind of event; enough to see each of a few failures, and with
 # ten kinds at once no more than a few hundredths of a core.
-LINES_A_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 
 
 class DroppingOutput:
@@ -50,29 +50,29 @@
 class EventLog:
     """The log of a sidecar."""
 
-    def __init__(self, names_call: str) -> None:
-        self.call_header = names_call
-        self.second = 0
-        self.lines: Counter[str] = Counter()
-        self.left_out: Counter[str] = Counter()
+    def __init__(self, call_id_header: str) -> None:
+        self.call_id_header = call_id_header
+        self.current_second = 0
+        self.line_counts: Counter[str] = Counter()
+        self.suppressed: Counter[str] = Counter()
 
     def allowed(self, kind: str) -> bool:
         """Return whether there is room for a line of a kind."""
         second = int(clock.now())
-        if second != self.second:
-            self.second = second
-            self.lines.clear()
-            self.report_left_out()
-        self.lines[kind] += 1
-        if self.lines[kind] <= LINES_A_SECOND:
+        if second != self.current_second:
+            self.current_second = second
+            self.line_counts.clear()
+            self.report_suppressed()
+        self.line_counts[kind] += 1
+        if self.line_counts[kind] <= MAX_LINES_PER_SECOND:
             return True
-        self.left_out[kind] += 1
+        self.suppressed[kind] += 1
         return False
 
-    def report_left_out(self) -> None:
+    def report_suppressed(self) -> None:
         """Say how many lines the second before had too many."""
-        left_out, self.left_out = self.left_out, Counter()
-        for kind, count in left_out.items():
+        suppressed, self.suppressed = self.suppressed, Counter()
+        for kind, count in suppressed.items():
             logger.bind(kind=kind, count=count).warning("lines-left-out")
 
     def event(self, kind: str, **pairs: object) -> None:
@@ -83,7 +83,7 @@
     def call(self, kind: str, request: Request, **pairs: object) -> None:
         """Log a decision on a call, with the call's id."""
         if self.allowed(kind):
-            call_id = request.header(self.call_header)
+            call_id = request.header(self.call_id_header)
             logger.bind(id=call_id, **pairs).warning(kind)
 
     def request(self, kind: str, request: Request, **pairs: object) -> None:
@@ -93,7 +93,10 @@
         pays for one.
         """
         if self.allowed(kind):
-            call_id, fingerprint = request.header(self.call_header), request.fingerprint
+            call_id, fingerprint = (
+                request.header(self.call_id_header),
+                request.fingerprint,
+            )
             logger.bind(id=call_id, fingerprint=fingerprint, **pairs).warning(kind)
 
 
--- a/sequoiaspoke/sidecar/metrics.py
+++ b/sequoiaspoke/sidecar/metrics.py
@@ -92,7 +92,7 @@
             "subscribers": lambda: len(node.spread.subscribers),
             "links": lambda: sum(x.established for x in node.peers.links.values()),
             "loop_delay_seconds": lambda: node.loop_delay,
-            "store_reads": lambda: node.follower.store.calls,
+            "store_reads": lambda: node.follower.store.request_count,
             "upstream_connects": lambda: node.upstream.connects,
             "log_lines_dropped": lambda: self.output.dropped,
         }
--- a/sequoiaspoke/sidecar/source.py
+++ b/sequoiaspoke/sidecar/source.py
@@ -57,7 +57,7 @@
 class ItemStore(ABC):
     """The platform's store, as far as a sidecar reads it."""
 
-    calls: int = 0
+    request_count: int = 0
 
     @abstractmethod
     async def read_all(self) -> Changes:
--- a/sequoiaspoke/sidecar/spread.py
+++ b/sequoiaspoke/sidecar/spread.py
@@ -100,7 +100,7 @@
         newer = state.version > ask.config_version
         if not newer and state.age(now) > ask.age - MIN_AGE_GAIN:
             return None
-        return pack_knowledge(state.knowledge(0, ask.config_version))
+        return pack_knowledge(state.update_since(0, ask.config_version))
 
     def subscribe(self, stream: FrameStream, subscribe: wire.Subscribe) -> None:
         """Send another node what is known, and every change from now on."""
@@ -109,7 +109,7 @@
         self.subscribers = [*kept, new]
         if self.duty.learn_rates({subscribe.host: subscribe.link_mbps}):
             # The readers of the zone have changed.
-            self.state.changed()
+            self.state.on_change()
         if self.crash_gossip is not None:
             self.crash_gossip.send_all(stream.send)
         self.publish()
@@ -136,7 +136,7 @@
     def defers_config(self, now: float) -> bool:
         """Return whether the newest configuration goes to some subscribers only."""
         large = self.state.history.changed_routes > LARGE_CHANGE_ROUTES
-        return large and now - self.state.installed < SECOND_READER_DELAY
+        return large and now - self.state.installed_at < SECOND_READER_DELAY
 
     def publish(self) -> None:
         """Send the subscribers what they have not been sent yet."""
@@ -191,7 +191,7 @@
         ):
             confirmed = wire.Confirmed(state.revision, state.as_of, state.answered_at)
             return wire.Frame(confirmed=confirmed)
-        knowledge = pack_knowledge(state.knowledge(serial, version))
+        knowledge = pack_knowledge(state.update_since(serial, version))
         if not rates_unchanged:
             knowledge.link_rates = self.duty.reader_rates
         return wire.Frame(knowledge=knowledge)
@@ -225,7 +225,7 @@
                 revision=received.revision,
             )
         try:
-            self.state.learn(received)
+            self.state.apply_update(received)
         except KeyError:
             # The delta has a base version that this node never had.
             return False
@@ -240,8 +240,8 @@
             confirmed.as_of - clock_offset,
             confirmed.answered_at - clock_offset,
         )
-        self.state.heard_of_store(answered_at)
-        self.state.learn(StateUpdate(confirmed.revision, as_of))
+        self.state.record_remote_answer(answered_at)
+        self.state.apply_update(StateUpdate(confirmed.revision, as_of))
         self.duty.confirm(as_of, answered_at)
 
     def link_up(self, link: LinkClient) -> None:
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -30,7 +30,7 @@
 # Age in seconds from which this node denies no route, unless it is told its bound:
 # below the 2 s in which a version has to be in force, above the second or so between
 # two confirmations of a reader.
-DENY_SECONDS = 1.5
+DEFAULT_MAX_NO_ROUTE_AGE = 1.5
 
 
 class MeshState:
@@ -47,16 +47,16 @@
         are not read yet.
     read_at : float
         When the store last answered this node itself.
-    deny_after : float
+    max_no_route_age : float
         Age in seconds from which a route that is not known may be too new.
     """
 
     def __init__(
-        self, decoder: ItemDecoder, log: EventLog, changed: Callable[[], None]
+        self, decoder: ItemDecoder, log: EventLog, on_change: Callable[[], None]
     ) -> None:
         self.decoder = decoder
         self.log = log
-        self.changed = changed
+        self.on_change = on_change
         self.directory = Directory()
         self.evacuations = Evacuations()
         self.table: RouteTable | None = None
@@ -65,12 +65,12 @@
         self.revision = 0
         self.as_of = float("-inf")
         self.answered_at = float("-inf")
-        self.deny_after = DENY_SECONDS
+        self.max_no_route_age = DEFAULT_MAX_NO_ROUTE_AGE
         self.read_at = float("-inf")
-        self.lost_at = float("-inf")
-        self.installed = 0.0
+        self.store_failed_at = float("-inf")
+        self.installed_at = 0.0
         self.counts: Counter[str] = Counter()
-        self.items = ItemParser(decoder, log, self.counts)
+        self.item_parser = ItemParser(decoder, log, self.counts)
 
     def age(self, now: float) -> float:
         """Return the seconds since all this was confirmed."""
@@ -80,14 +80,14 @@
         """Return whether news may have been missed."""
         return self.age(now) > STALE_SECONDS
 
-    def may_lack_a_route(self, now: float) -> bool:
+    def may_lack_route(self, now: float) -> bool:
         """Return whether a route may be in force that has not come here yet.
 
         A caller of such a route that is told there is none gives up for good. In a
         storm of versions on narrow links one was 2.8 s on its way to a node that
         denied it, as its readers had meanwhile been answered by the store.
         """
-        return self.age(now) > self.deny_after
+        return self.age(now) > self.max_no_route_age
 
     def members(self) -> list[Endpoint]:
         """Return the endpoints whose nodes take part in the mesh.
@@ -96,11 +96,11 @@
         Counted in, two such would be taken for the readers of a zone, and nobody
         would read for it.
         """
-        held = [each.endpoint for each in self.directory.records.values()]
+        endpoints = [each.endpoint for each in self.directory.records.values()]
         if self.table is None:
-            return held
+            return endpoints
         services = self.table.config.services
-        return [each for each in held if each.service in services]
+        return [each for each in endpoints if each.service in services]
 
     @property
     def complete(self) -> bool:
@@ -114,112 +114,114 @@
 
     # From the store.
 
-    def take_all(self, read: Changes) -> None:
+    def apply_snapshot(self, changes: Changes) -> None:
         """Take every item of the store."""
-        self.store_answered()
+        self.record_store_answer()
         now = clock.now()
         endpoints: list[PublishedEndpoint] = []
         unreadable: list[tuple[str, int]] = []
-        for item in read.items:
+        for item in changes.items:
             if self.decoder.kind(item.key) != ItemDecoder.ENDPOINT:
-                self.take_item(item, now)
+                self.apply_item(item, now)
                 continue
-            endpoint = self.items.endpoint(item)
+            endpoint = self.item_parser.endpoint(item)
             if endpoint is not None:
                 endpoints.append(PublishedEndpoint(endpoint, item.revision))
             else:
                 unreadable.append((self.decoder.instance(item.key), item.revision))
         before = self.directory.serial
-        self.directory.reconcile(endpoints, read.revision, now, unreadable=unreadable)
-        self.end_evacuations(read)
+        self.directory.reconcile(
+            endpoints, changes.revision, now, unreadable=unreadable
+        )
+        self.end_missing_evacuations(changes)
         log_endpoints(self.log, self.directory, before, "store")
-        self.confirmed(read.revision, now)
+        self.record_complete(changes.revision, now)
 
-    def take_changes(self, read: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take what has changed in the store."""
-        self.store_answered()
+        self.record_store_answer()
         now = clock.now()
         before = self.directory.serial
-        for item in newest_only(read.items):
-            self.take_item(item, now)
-        self.end_evacuations(read)
+        for item in latest_per_key(changes.items):
+            self.apply_item(item, now)
+        self.end_missing_evacuations(changes)
         log_endpoints(self.log, self.directory, before, "store")
-        self.confirmed(read.revision, now)
+        self.record_complete(changes.revision, now)
 
-    def take_endpoints(self, read: Changes, begun: float) -> None:
+    def apply_endpoint_changes(self, changes: Changes, begun: float) -> None:
         """Take the endpoints that have changed, as of when they were asked for.
 
         What else has changed up to the same revision is not known by it.
         """
-        self.store_answered()
+        self.record_store_answer()
         before = self.directory.serial
-        for item in newest_only(read.items):
-            self.take_item(item, clock.now())
+        for item in latest_per_key(changes.items):
+            self.apply_item(item, clock.now())
         log_endpoints(self.log, self.directory, before, "store")
-        self.answered(read.revision, begun)
+        self.record_revision(changes.revision, begun)
 
-    def answered(self, revision: int, when: float) -> None:
+    def record_revision(self, revision: int, when: float) -> None:
         """Note the store's revision and as of when it was that."""
         if revision > self.revision:
             # There are news that this node has not read. Others hear that it reads.
-            self.answered_with_news(when)
+            self.record_own_read(when)
         else:
-            self.confirmed_as_of(when)
+            self.record_complete_as_of(when)
 
-    def store_answered(self, when: float | None = None) -> None:
+    def record_store_answer(self, when: float | None = None) -> None:
         """Note that the store can be read, by this node now or by another."""
         now = clock.now()
         when = now if when is None else when
         if self.directory.lapses.outage:
             self.log.event("store-reached", age=f"{self.age(now):.1f}")
-        known_before = self.answered_at > float("-inf")
-        gap = when - self.answered_at if known_before else 0.0
+        answered_before = self.answered_at > float("-inf")
+        gap = when - self.answered_at if answered_before else 0.0
         self.answered_at = max(self.answered_at, when)
         self.directory.lapses.store_reached(when, gap)
 
-    def store_failed(self, code: str, reason: str) -> None:
+    def record_store_failure(self, code: str, reason: str) -> None:
         """Note that the store cannot be read."""
         self.counts["store-failed"] += 1
         if not self.directory.lapses.outage:
             self.log.event("store-lost", code=code, reason=reason)
-        self.lost_at = clock.now()
+        self.store_failed_at = clock.now()
         self.directory.lapses.store_lost()
 
-    def confirmed(self, revision: int, now: float) -> None:
+    def record_complete(self, revision: int, now: float) -> None:
         """Note up to which revision and as of when everything is known."""
-        self.complete_to(revision)
-        self.confirmed_as_of(now)
+        self.advance_revision(revision)
+        self.record_complete_as_of(now)
 
-    def complete_to(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Note up to which revision everything is known."""
         self.revision = max(self.revision, revision)
         self.directory.complete_to = self.revision
         self.evacuations.complete_to = self.revision
 
-    def confirmed_as_of(self, when: float) -> None:
+    def record_complete_as_of(self, when: float) -> None:
         """Note that the store answered, and that all it had to tell had come."""
         self.as_of = max(self.as_of, when)
-        self.answered_with_news(when)
+        self.record_own_read(when)
 
-    def answered_with_news(self, when: float) -> None:
+    def record_own_read(self, when: float) -> None:
         """Note that the store answered, whether or not it has news."""
         self.answered_at = max(self.answered_at, when)
         self.read_at = max(self.read_at, when)
-        self.changed()
+        self.on_change()
 
     # Items.
 
-    def take_item(self, item: StoreItem, now: float) -> None:
+    def apply_item(self, item: StoreItem, now: float) -> None:
         """Take one item, new, changed or deleted."""
         kind = self.decoder.kind(item.key)
         if kind == ItemDecoder.CONFIG and item.value is not None:
-            self.take_config(item)
+            self.apply_config_item(item)
         elif kind == ItemDecoder.EVACUATION:
-            self.take_evacuation(item)
+            self.apply_evacuation_item(item)
         elif kind == ItemDecoder.ENDPOINT and item.value is None:
-            self.take_removal(item, now)
+            self.apply_removal(item, now)
         elif kind == ItemDecoder.ENDPOINT:
-            endpoint = self.items.endpoint(item)
+            endpoint = self.item_parser.endpoint(item)
             if endpoint is not None:
                 self.directory.put(endpoint, item.revision, now)
             else:
@@ -227,25 +229,25 @@
                     self.decoder.instance(item.key), item.revision
                 )
 
-    def take_evacuation(self, item: StoreItem) -> None:
+    def apply_evacuation_item(self, item: StoreItem) -> None:
         """Take the beginning or the end of an evacuation."""
-        evacuation = self.items.evacuation(item)
+        evacuation = self.item_parser.evacuation(item)
         if evacuation is not None:
             self.evacuations.apply(evacuation)
         self.apply_evacuations("store")
 
-    def end_evacuations(self, read: Changes) -> None:
+    def end_missing_evacuations(self, changes: Changes) -> None:
         """End the evacuations that a read of all of them did not find."""
-        if not read.lists_evacuations:
+        if not changes.lists_evacuations:
             return
         # One that was written over, so that it cannot be read, stands as it stood.
-        standing = (
+        evacuated_zones = (
             self.decoder.evacuated_zone(item.key)
-            for item in read.items
+            for item in changes.items
             if self.decoder.kind(item.key) == ItemDecoder.EVACUATION
             and item.value is not None
         )
-        self.evacuations.end_missing(standing, read.revision)
+        self.evacuations.end_missing(evacuated_zones, changes.revision)
         self.apply_evacuations("store")
 
     def apply_evacuations(self, source: str) -> None:
@@ -256,29 +258,29 @@
             grouping.exclude_zones(zones)
             log_evacuations(self.log, self.directory, before, source)
 
-    def take_removal(self, item: StoreItem, now: float) -> None:
+    def apply_removal(self, item: StoreItem, now: float) -> None:
         """Take the end of an endpoint's entry."""
         instance = self.decoder.instance(item.key)
-        gone = self.directory.remove(instance, item.revision, now)
-        if not gone and instance in self.directory.lapses.kept_until:
+        removed = self.directory.remove(instance, item.revision, now)
+        if not removed and instance in self.directory.lapses.kept_until:
             self.log.event(
                 "endpoint-missing", instance=instance, revision=item.revision
             )
 
-    def take_config(self, item: StoreItem) -> None:
+    def apply_config_item(self, item: StoreItem) -> None:
         """Take a configuration if it is newer and whole."""
         if item.revision <= self.config_revision:
             return
-        config = self.items.config(item)
+        config = self.item_parser.config(item)
         if config is None:
             return
-        if not self.newer(config.version):
+        if not self.is_newer(config.version):
             self.counts["config-old"] += 1
             return
         self.install(config)
         self.config_revision = item.revision
 
-    def newer(self, version: int) -> bool:
+    def is_newer(self, version: int) -> bool:
         """Return whether a version comes after the one in force."""
         return self.table is None or version > self.table.config.version
 
@@ -286,61 +288,59 @@
         """Put a newer configuration into force."""
         shared = self.history.install(config)
         assert shared is not None
-        self.put_in_force(shared)
+        self.activate(shared)
 
-    def put_in_force(self, config: MeshConfig) -> None:
+    def activate(self, config: MeshConfig) -> None:
         """Decide calls by a version from now on."""
         self.table = RouteTable(config)
-        self.installed = clock.now()
+        self.installed_at = clock.now()
         self.counts["config-taken"] += 1
         self.log.event("config", version=config.version, routes=len(config.routes))
 
     # From other nodes.
 
-    def learn(self, knowledge: StateUpdate) -> None:
+    def apply_update(self, update: StateUpdate) -> None:
         """Take what another node knows; KeyError if its configuration has no base here.
 
         Each item is taken only if it is newer than what is known of it.
         """
         now = clock.now()
-        if knowledge.config is not None and self.newer(knowledge.config.version):
-            self.put_in_force(self.history.apply(knowledge.config))
-            self.config_revision = knowledge.config_revision
-        self.heard_of_store(knowledge.as_of)
+        if update.config is not None and self.is_newer(update.config.version):
+            self.activate(self.history.apply(update.config))
+            self.config_revision = update.config_revision
+        self.record_remote_answer(update.as_of)
         directory = self.directory
         before = directory.serial
-        if knowledge.is_snapshot:
-            directory.reconcile(
-                knowledge.endpoints, knowledge.revision, now, trusted=True
-            )
+        if update.is_snapshot:
+            directory.reconcile(update.endpoints, update.revision, now, trusted=True)
         else:
-            for each in knowledge.endpoints:
+            for each in update.endpoints:
                 directory.put(each.endpoint, each.revision, now, True, each.readable)
-        for departure in knowledge.departures:
+        for departure in update.departures:
             directory.apply_departure(departure, now)
-        for departure in knowledge.lapsing:
+        for departure in update.lapsing:
             directory.remove(departure.instance, departure.revision, now)
-        if knowledge.evacuations is not None:
-            self.evacuations.apply_list(knowledge.evacuations, knowledge.revision)
+        if update.evacuations is not None:
+            self.evacuations.apply_list(update.evacuations, update.revision)
             self.apply_evacuations("node")
         log_endpoints(self.log, self.directory, before, "node")
-        self.complete_to(knowledge.revision)
-        self.as_of = max(self.as_of, knowledge.as_of)
-        self.changed()
+        self.advance_revision(update.revision)
+        self.as_of = max(self.as_of, update.as_of)
+        self.on_change()
 
-    def heard_of_store(self, when: float) -> None:
+    def record_remote_answer(self, when: float) -> None:
         """Note that the store answered another node at a time.
 
         A node that had lost it and then left reading to its readers would else doubt
         the next entry that vanishes, however much later, and go on sending calls to an
         upstream that has left.
         """
-        if when > max(self.lost_at, self.answered_at):
-            self.store_answered(when)
+        if when > max(self.store_failed_at, self.answered_at):
+            self.record_store_answer(when)
 
-    def knowledge(self, serial: int, version: int) -> StateUpdate:
+    def update_since(self, serial: int, version: int) -> StateUpdate:
         """Return what is known here beyond a count of changes and a version."""
-        held, gone = self.directory.changed_since(serial)
+        records, departures = self.directory.changed_since(serial)
         now = clock.now()
         return StateUpdate(
             revision=self.revision,
@@ -352,9 +352,9 @@
                     each.revision,
                     each.readable,
                 )
-                for each in held
+                for each in records
             ),
-            departures=tuple(gone),
+            departures=tuple(departures),
             lapsing=tuple(self.directory.lapsing()),
             config=self.history.delta_since(version),
             config_revision=self.config_revision,
@@ -365,10 +365,10 @@
         """Give up on entries that stayed missing after an outage."""
         for instance in self.directory.expire(now):
             self.log.event("endpoint-gone", instance=instance, reason="lapsed")
-            self.changed()
+            self.on_change()
 
 
-def newest_only(items: tuple[StoreItem, ...]) -> list[StoreItem]:
+def latest_per_key(items: tuple[StoreItem, ...]) -> list[StoreItem]:
     """Return the last change of each key, in the order of the changes.
 
     Versions that were replaced before they were read need not be decoded: in a storm
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -23,7 +23,7 @@
         "zone": node.settings.zone,
         "target": node.settings.service,
         "version": state.version,
-        "installed_at": time.time() - (now - state.installed),
+        "installed_at": time.time() - (now - state.installed_at),
         "learnt_from": "store" if node.duty.must_read(now) else "readers",
         "in_flight": home.admission.running,
         "queued": home.admission.waiting,
@@ -47,7 +47,7 @@
             "cold-bound": cold.max_calls,
             "readers": list(node.duty.readers),
             "links": sum(link.established for link in node.peers.links.values()),
-            "store-reads": node.follower.store.calls,
+            "store-reads": node.follower.store.request_count,
         },
     }
     return json.dumps(page, indent=2).encode()
--- a/sequoiaspoke/tests/meshsim.py
+++ b/sequoiaspoke/tests/meshsim.py
@@ -251,9 +251,9 @@
                 for number, name in enumerate(self.world.endpoints)
             )
             if not self.world.store_down:
-                self.state.take_all(Changes(items, 100))
+                self.state.apply_snapshot(Changes(items, 100))
             else:
-                self.state.store_failed("store-unavailable", "down")
+                self.state.record_store_failure("store-unavailable", "down")
             self.home.tick(now)
             self.state.tick(now)
             self.peers.refresh()
--- a/sequoiaspoke/tests/test_mesh_evacuation.py
+++ b/sequoiaspoke/tests/test_mesh_evacuation.py
@@ -132,10 +132,10 @@
         self.assertEqual(self.state.directory.grouping.excluded_zones, frozenset(zones))
 
     def test_an_order_and_its_end_among_the_changes(self):
-        self.state.take_changes(Changes((self.order,), 5))
+        self.state.apply_changes(Changes((self.order,), 5))
         self.check("akaki")
         end = StoreItem(self.order.key, None, 6)
-        self.state.take_changes(Changes((end,), 6))
+        self.state.apply_changes(Changes((end,), 6))
         self.check()
         kinds = [kind for kind, _ in self.lines if kind.startswith("zone")]
         self.assertEqual(kinds, ["zone-evacuated", "zone-taken-back"])
@@ -144,14 +144,14 @@
         # The evacuation ends in a part of the history that was dropped. A node that
         # reads the whole store must compare it with its own list: if it only followed
         # changes, it would keep the zone evacuated forever.
-        self.state.take_changes(Changes((self.order,), 5))
-        self.state.take_all(Changes((), 9, lists_evacuations=True))
+        self.state.apply_changes(Changes((self.order,), 5))
+        self.state.apply_snapshot(Changes((), 9, lists_evacuations=True))
         self.check()
 
     def test_an_end_and_a_new_order_between_two_reads(self):
-        self.state.take_changes(Changes((self.order,), 5))
+        self.state.apply_changes(Changes((self.order,), 5))
         again = StoreItem(self.order.key, b"{}", 8)
-        self.state.take_changes(Changes((again,), 9, lists_evacuations=True))
+        self.state.apply_changes(Changes((again,), 9, lists_evacuations=True))
         self.check("akaki")
 
     def test_an_unreadable_order_changes_nothing(self):
@@ -159,13 +159,13 @@
         # the evacuation, calls would go to upstreams on which the operators work; if it
         # counted as an order, it would evacuate a zone without reason.
         corrupt = StoreItem(self.order.key, b"?", 7)
-        self.state.take_all(Changes((corrupt,), 7, lists_evacuations=True))
+        self.state.apply_snapshot(Changes((corrupt,), 7, lists_evacuations=True))
         self.check()
-        self.state.take_changes(Changes((StoreItem(self.order.key, b"{}", 8),), 8))
-        self.state.take_changes(Changes((StoreItem(self.order.key, b"?", 9),), 9))
+        self.state.apply_changes(Changes((StoreItem(self.order.key, b"{}", 8),), 8))
+        self.state.apply_changes(Changes((StoreItem(self.order.key, b"?", 9),), 9))
         self.check("akaki")
         corrupt = StoreItem(self.order.key, b"?", 9)
-        self.state.take_all(Changes((corrupt,), 9, lists_evacuations=True))
+        self.state.apply_snapshot(Changes((corrupt,), 9, lists_evacuations=True))
         self.check("akaki")
         refused = [fields for kind, fields in self.lines if kind == "item-refused"]
         self.assertEqual([each["revision"] for each in refused], [7, 9])
@@ -173,7 +173,9 @@
     def test_an_unknown_zone(self):
         unknown = StoreItem(EVACUATION_PREFIX + "nowhere", b"{}", 5)
         endpoint = StoreItem("akaki/akaki-0/1", b"0", 4)
-        self.state.take_all(Changes((endpoint, unknown), 5, lists_evacuations=True))
+        self.state.apply_snapshot(
+            Changes((endpoint, unknown), 5, lists_evacuations=True)
+        )
         self.assertEqual(len(self.state.directory.serving("fleet")), 1)
         self.assertIn(
             ("zone-evacuated", {"zone": "nowhere", "endpoints": 0, "source": "store"}),
--- a/sequoiaspoke/tests/test_sidecar_entry.py
+++ b/sequoiaspoke/tests/test_sidecar_entry.py
@@ -182,7 +182,7 @@
     def play(self, usual):
         async def run():
             entry = make_entry({"a": SERVED})
-            entry.attempts.placing.mean_seconds["order"] = usual
+            entry.attempts.balancer.mean_seconds["order"] = usual
             entry.closes_at = clock.now() + 1.0
             return await entry.handle(request("order")), entry.attempts.sent
 
@@ -242,7 +242,7 @@
         async def run():
             entry = make_entry({"a": None})
             entry.stop_at(clock.now() + 0.5)
-            entry.attempts.placing.mean_seconds["order"] = 0.05
+            entry.attempts.balancer.mean_seconds["order"] = 0.05
             return (await entry.handle(request("order"))).status
 
         self.assertEqual(asyncio.run(run()), 504)
--- a/sequoiaspoke/tests/test_sidecar_follower.py
+++ b/sequoiaspoke/tests/test_sidecar_follower.py
@@ -15,7 +15,7 @@
     StoreError,
     StoreItem,
 )
-from sequoiaspoke.sidecar.state import newest_only
+from sequoiaspoke.sidecar.state import latest_per_key
 
 WAIT = 20.0  # seconds; only a failing test waits so long
 
@@ -68,11 +68,11 @@
     def event(self, kind, **pairs):
         self.told.append(kind)
 
-    def take_all(self, read):
+    def apply_snapshot(self, read):
         self.revision = read.revision
         self.told.append("all")
 
-    def take_changes(self, read):
+    def apply_changes(self, read):
         self.revision = read.revision
         self.told.append("changes")
 
@@ -80,16 +80,16 @@
     def answered_at(self):
         return clock.now()
 
-    def store_answered(self):
+    def record_store_answer(self):
         pass
 
-    def take_endpoints(self, read, begun):
+    def apply_endpoint_changes(self, read, begun):
         self.told += read.items
 
-    def answered(self, revision, when):
+    def record_revision(self, revision, when):
         pass
 
-    def store_failed(self, code, reason):
+    def record_store_failure(self, code, reason):
         self.told.append(code)
 
 
@@ -138,7 +138,7 @@
                 return Changes((f"left-{after}",), after + 1)
 
         class Versions(FakeState):
-            def take_changes(self, read):
+            def apply_changes(self, read):
                 self.told += read.items
                 self.version = self.revision = read.revision
 
@@ -159,7 +159,7 @@
             duty = ReadingDuty("h", "z", pace)
             follower = Follower(ScriptedStore([]), FakeState(), duty, random.Random(1))
             for read in (0.005, 0.1, 0.3, 0.5):
-                whole = 2 * read + follower.storm_pause(read)
+                whole = 2 * read + follower.read_pause(read)
                 self.assertTrue(whole < 0.8 * duty.act_within, (pace, read, whole))
 
     def test_in_a_storm_of_versions_only_the_newest_is_read(self):
@@ -177,8 +177,8 @@
                 return Changes((f"v{version}",), version)
 
         class Versions(FakeState):
-            def take_changes(self, read):
-                super().take_changes(read)
+            def apply_changes(self, read):
+                super().apply_changes(read)
                 self.version = read.revision
 
         async def run():
@@ -211,5 +211,5 @@
             StoreItem(key, b"x", revision)
             for revision, key in enumerate(("config", "a", "config", "b"))
         )
-        revisions = [item.revision for item in newest_only(items)]
+        revisions = [item.revision for item in latest_per_key(items)]
         self.assertEqual(revisions, [1, 2, 3])
--- a/sequoiaspoke/tests/test_sidecar_logs.py
+++ b/sequoiaspoke/tests/test_sidecar_logs.py
@@ -10,7 +10,7 @@
 from sequoiaspoke.node.logs import format_line
 from sequoiaspoke.sidecar import clock
 from sequoiaspoke.sidecar.events import EVENTS
-from sequoiaspoke.sidecar.logs import LINES_A_SECOND, DroppingOutput, EventLog
+from sequoiaspoke.sidecar.logs import MAX_LINES_PER_SECOND, DroppingOutput, EventLog
 from sequoiaspoke.tests.golden import ROOT
 
 CALL = Request("GET", "/a", (("X-Request-Id", "c 1"),), b"")
@@ -38,11 +38,11 @@
         for _ in range(1000):
             self.log.call("call-failed", CALL)
         self.log.call("hedge", CALL)
-        self.assertEqual(len(self.lines), LINES_A_SECOND + 1)
+        self.assertEqual(len(self.lines), MAX_LINES_PER_SECOND + 1)
         self.now += 1
         self.log.call("call-failed", CALL)
         told = [line for line in self.lines if "lines-left-out" in line]
-        self.assertIn(f"kind=call-failed count={1000 - LINES_A_SECOND}", told[0])
+        self.assertIn(f"kind=call-failed count={1000 - MAX_LINES_PER_SECOND}", told[0])
 
 
 class DroppingOutputTests(TestCase):
--- a/sequoiaspoke/tests/test_sidecar_spread.py
+++ b/sequoiaspoke/tests/test_sidecar_spread.py
@@ -95,7 +95,7 @@
             StoreItem(key.replace("_", "-"), value and str(value).encode(), revision)
             for key, value in items.items()
         )
-        self.state.take_changes(Changes(told, revision))
+        self.state.apply_changes(Changes(told, revision))
 
     def follow(self, reader, first=True):
         """Subscribe to a reader."""
@@ -136,7 +136,7 @@
     def test_a_confirmation_without_changes_is_sent(self):
         stream = self.other.follow(self.reader)
         self.time += 0.9
-        self.reader.state.confirmed_as_of(self.time)
+        self.reader.state.record_complete_as_of(self.time)
         self.assertEqual(len(stream.frames), 2)
         self.assertEqual(self.other.duty.confirmed_at, self.time)
         self.assertFalse(self.other.duty.must_read(self.time + 1.0))
@@ -252,19 +252,19 @@
         self.other.follow(self.reader)
         for _ in range(3):
             self.time += 0.52
-            self.reader.state.answered_with_news(self.time)
+            self.reader.state.record_own_read(self.time)
         self.assertFalse(self.other.duty.must_read(self.time))
         self.assertEqual(self.other.state.as_of, 1000.0)
-        self.assertTrue(self.other.state.may_lack_a_route(self.time))
+        self.assertTrue(self.other.state.may_lack_route(self.time))
         self.time += 0.1
         self.reader.read(11)
-        self.assertFalse(self.other.state.may_lack_a_route(self.time))
+        self.assertFalse(self.other.state.may_lack_route(self.time))
 
     def test_a_confirmation_lists_endpoints_that_may_be_gone(self):
         # An upstream's endpoint vanished when the store came back. Until it is known
         # whether it is gone for good, each confirmation repeats it.
         stream = self.other.follow(self.reader)
-        self.reader.state.store_failed("store-unavailable", "down")
+        self.reader.state.record_store_failure("store-unavailable", "down")
         self.time += 10.0
         self.reader.read(11, i_2=None)
         self.reader.read(11)
@@ -316,14 +316,14 @@
         self.assertIsNone(
             self.reader.spread.answer(self.other.spread.knowledge_request())
         )
-        self.reader.state.confirmed_as_of(self.time)
+        self.reader.state.record_complete_as_of(self.time)
         self.assertIsNotNone(self.reader.spread.answer(wire.Ask(3, 10.0)))
 
     def test_an_upstream_that_vanished_around_an_outage_is_kept_by_all(self):
         # An upstream that could not report during an outage of the store has no
         # endpoint after it. It reports again within two seconds if it is alive.
         self.other.follow(self.reader)
-        self.reader.state.store_failed("store-unavailable", "down")
+        self.reader.state.record_store_failure("store-unavailable", "down")
         self.time += 5.0
         self.reader.read(14, i_1=None)
         for node in (self.reader, self.other):
@@ -339,10 +339,10 @@
         healthy.read(10, config=3, i_1=4, i_2=4)
         self.other.follow(self.reader)
         self.other.follow(healthy)
-        self.reader.state.store_failed("store-unavailable", "cut off")
+        self.reader.state.record_store_failure("store-unavailable", "cut off")
         for _ in range(5):
             self.time += 0.9
-            healthy.state.confirmed_as_of(self.time)
+            healthy.state.record_complete_as_of(self.time)
         self.time += 0.9
         self.reader.read(14, i_1=None)
         self.assertEqual(self.reader.knows()[1], {"i-1": 4, "i-2": 4})
@@ -352,15 +352,15 @@
         # A node read for itself and lost the store; its readers reach it again, and the
         # node stops reading. Seconds later an upstream leaves without draining first.
         self.other.follow(self.reader)
-        self.other.state.store_failed("store-unavailable", "down")
+        self.other.state.record_store_failure("store-unavailable", "down")
         self.time += 1.0
-        self.reader.state.confirmed_as_of(self.time)
+        self.reader.state.record_complete_as_of(self.time)
         self.assertFalse(self.other.state.directory.lapses.outage)
         for _ in range(60):
             self.time += 0.9
-            self.reader.state.confirmed_as_of(self.time)
+            self.reader.state.record_complete_as_of(self.time)
         self.time += 0.5
-        self.other.state.take_changes(Changes((StoreItem("i-1", None, 30),), 30))
+        self.other.state.apply_changes(Changes((StoreItem("i-1", None, 30),), 30))
         self.assertNotIn("i-1", self.other.state.directory.records)
 
     def test_the_rest_of_a_cold_start_is_sent(self):
--- a/sequoiaspoke/tests/test_spread_sim.py
+++ b/sequoiaspoke/tests/test_spread_sim.py
@@ -86,13 +86,13 @@
         self.assert_detected("not acted on")
 
     def test_a_lost_history_is_read_again(self):
-        step = Follower.step
+        read_once = Follower.read_once
 
-        async def without_listing(self):
-            self.listed = True
-            await step(self)
+        async def without_snapshot(self):
+            self.has_snapshot = True
+            await read_once(self)
 
-        self.patch(Follower, "step", without_listing)
+        self.patch(Follower, "read_once", without_snapshot)
         self.assert_detected("ended with")
 
     def test_a_missed_revision_is_read_again(self):
