--- a/sequoiaspoke/sidecar/follower.py
+++ b/sequoiaspoke/sidecar/follower.py
@@ -1,4 +1,4 @@
-"""Follow the platform's store, through whatever befalls it."""
+"""Follow the changes of the platform's store, and recover from its failures."""
 
 from __future__ import annotations
 
@@ -15,36 +15,45 @@
     from sequoiaspoke.sidecar.source import Changes, ItemStore
     from sequoiaspoke.sidecar.state import MeshState
 
-# Seconds between attempts while the store fails, doubling up to the second figure and
-# drawn at random below it, so that nodes which lost it together do not return together.
-# A node that reads for itself alone waits longer: its zone's readers tell it as soon
-# as one of them gets through, and all nodes of a large fleet asking twice a second
-# through an outage make thousands of refused calls.
+# Delay in seconds before a failed read is retried: the first one, and the limits up to
+# which it doubles for a reader of the zone and for another node. It is randomised so
+# that nodes which lost the store together do not return together. A node that is not
+# a reader waits longer: a reader sends it the state as soon as one can read again, and
+# retries of all nodes of a large fleet twice a second make thousands of failed requests
+# in an outage.
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, MAX_RETRY_DELAY_OFF_DUTY = 0.05, 0.5, 2.0
-# Seconds after news before the next is asked for: in a storm of changes, several a
-# second, one read then brings several, and it is short against the two seconds in
-# which a version or a drain has to be acted on.
+# Seconds between a change and the next read, so that one read returns several changes
+# if there are several a second. Short against the two seconds within which a version or
+# a drain has to be acted on.
 BATCH_SECONDS = 0.35
-# How many times as long as the last read took a node waits before it reads the
-# configuration again, and the seconds that this may be at most. A document of 1,900
-# routes takes half a second of a link of 2.5 Mbit/s; read again at once in a storm it
-# would leave nothing of the link to the calls.
+# Pause before the configuration is read again, as a multiple of the duration of the
+# last read, and its maximum in seconds. A configuration of 1,900 routes takes half a
+# second on a link of 2.5 Mbit/s; reading each new version at once would leave no
+# bandwidth for calls.
 READ_PAUSE_FACTOR, MAX_READ_PAUSE = 2.5, 1.0
-# Part of the time in which a version has to be in force that may be over when it has
-# been read. It may be accepted just after a read began: that read, the pause and
-# another read come before it is known. The rest is for telling it and for busy nodes.
+# Fraction of the time within which a version must be in force that may pass until it is
+# read. It may be published just after a read began, and is then known after that read,
+# the pause and another read. The rest is for sending it on, and for busy nodes.
 MAX_READ_FRACTION = 0.75
-# Questions without an answer after which the store is taken to be lost; one may fall
-# to a lost packet or a busy moment of this node.
+# Number of failed confirmations in a row after which the store counts as unreachable.
+# A single one may be due to a lost packet or a busy moment of this node.
 MAX_CONFIRM_FAILURES = 2
-# Seconds for which a change that the store has may be on its way here.
+# Seconds that a change may take to arrive once the store has confirmed its revision.
 OVERDUE_SECONDS = 0.2
-# Seconds by which a timer may run early.
+# Seconds by which a timer may fire early.
 TIMER_TOLERANCE = 0.002
 
 
 class Follower:
-    """Keeps the state of a node up to date with the store."""
+    """Keeps the state of a node up to date with the store.
+
+    Attributes
+    ----------
+    has_snapshot : bool
+        Whether all items were read and the changes since can be followed.
+    retry_delay : float
+        Maximum delay in seconds before the next read if one fails now.
+    """
 
     def __init__(
         self, store: ItemStore, state: MeshState, duty: ReadingDuty, rng: Random
@@ -59,7 +68,7 @@
         duty.on_change = self.duty_changed.set
 
     async def run(self) -> None:
-        """Read everything once and then the changes, for ever."""
+        """Read all items once and then follow the changes, without end."""
         while True:
             try:
                 if self.informed and not self.duty.must_read(clock.now()):
@@ -73,28 +82,28 @@
             except StoreError as error:
                 await self.handle_failure(error.code, str(error))
             except Exception as error:
-                # An answer that nobody foresaw. A follower that ended here would leave
-                # this node on what it knows now for good.
+                # An unexpected answer. If this task ended, the state of the node would
+                # stay as it is until the next start.
                 await self.handle_failure("unexpected", repr(error))
 
     @property
     def informed(self) -> bool:
-        """Return whether everything is known, from the store or from another node."""
+        """Return whether this node has a state, from the store or another node."""
         return self.has_snapshot or self.state.complete
 
     async def wait_for_duty(self) -> None:
-        """Wait until it may have become this node's turn to read."""
+        """Wait until this node may have to read the store."""
         self.duty_changed.clear()
         remaining = self.duty.valid_until - clock.now()
         try:
             async with asyncio.timeout(max(0.0, remaining) + TIMER_TOLERANCE):
                 await self.duty_changed.wait()
         except TimeoutError:
-            # The readers may have confirmed meanwhile; the caller looks.
+            # The readers may have confirmed the state meanwhile; the caller checks.
             return
 
     async def handle_failure(self, code: str, reason: str) -> None:
-        """Note a failure and wait before the next read."""
+        """Record a failed read and wait before the next one."""
         self.state.record_store_failure(code, reason)
         self.has_snapshot = self.has_snapshot and code != "unexpected"
         await asyncio.sleep(self.retry_delay * self.rng.uniform(0.5, 1.0))
@@ -102,7 +111,7 @@
         self.retry_delay = min(2 * self.retry_delay, max_delay)
 
     async def read_once(self) -> None:
-        """Read once."""
+        """Read all items if there is no snapshot yet, else the next changes."""
         if not self.has_snapshot:
             self.state.apply_snapshot(await self.store.read_all())
             self.has_snapshot = True
@@ -118,7 +127,7 @@
             await self.read_until_settled()
 
     async def read_until_settled(self) -> None:
-        """Read the newest version now and then until no other has come."""
+        """Read the newest version at intervals until no newer one appears."""
         version = None
         while version != self.state.version:
             version = self.state.version
@@ -130,26 +139,27 @@
             await asyncio.sleep(pause / 2)
 
     def read_pause(self, read_seconds: float) -> float:
-        """Return the seconds until the next read, by what the last one took."""
+        """Return the seconds to wait after a read that took `read_seconds`."""
         limit = MAX_READ_FRACTION * self.duty.act_within - 2 * read_seconds
         pause = min(READ_PAUSE_FACTOR * read_seconds, limit, MAX_READ_PAUSE)
         return max(pause, BATCH_SECONDS)
 
     async def read_endpoints(self) -> None:
-        """Read which endpoints have changed while the configuration waits.
+        """Read the changed endpoints only, between two reads of the configuration.
 
         A read of all 1,900 routes and the pause after it may take 2 s on a link of
-        2.5 Mbit/s. An upstream that leaves meanwhile would be sent calls until it
-        exits; and others would take this node for silent, and read all themselves.
+        2.5 Mbit/s. An upstream that leaves meanwhile would get calls until it exits,
+        and the subscribers of this node would take it for silent and read the whole
+        store themselves.
         """
         begun = clock.now()
         changed = await self.store.endpoints_since(self.state.revision)
         self.state.apply_endpoint_changes(changed, begun)
 
     async def next_changes(self) -> Changes | None:
-        """Wait for changes, and have the store confirm meanwhile that it is there.
+        """Wait for changes, and have the store confirm its revision meanwhile.
 
-        Return None if it has become the turn of others to read.
+        Return None if this node need not read any more.
         """
         wait = self.store.wait_for_changes(self.state.revision)
         waiting = asyncio.ensure_future(wait)
@@ -157,8 +167,8 @@
         expected_revision = 0
         try:
             while True:
-                # At once, if the last confirmation is old: a node that begins to read
-                # for itself must not take its own start for an outage of the store.
+                # Confirm at once if the last answer is old. A node that starts to read
+                # would otherwise take the gap before for an outage of the store.
                 answer_age = clock.now() - self.state.answered_at
                 pause = max(0.0, self.duty.confirm_interval - answer_age)
                 if self.state.revision < expected_revision:
@@ -169,10 +179,11 @@
                 if not self.duty.must_read(clock.now()):
                     return None
                 if self.state.revision < expected_revision:
-                    # A wait hears nothing while the store drops its history, and open
-                    # connections may go silent for good while new ones work.
+                    # The store has a change that the wait did not return. That happens
+                    # if the store drops its history during the wait, or if the open
+                    # connection is dead while new ones work.
                     self.store.reconnect()
-                    raise HistoryLostError("a change was not told")
+                    raise HistoryLostError("a confirmed change was not received")
                 try:
                     expected_revision = await self.confirm()
                     failures = 0
@@ -184,7 +195,7 @@
             waiting.cancel()
 
     async def confirm(self) -> int:
-        """Have the store confirm that it can be read; return its revision."""
+        """Request the store's revision, record that it answered, and return it."""
         begun = clock.now()
         revision = await self.store.confirm()
         self.state.record_store_answer()
--- a/sequoiaspoke/sidecar/source.py
+++ b/sequoiaspoke/sidecar/source.py
@@ -1,4 +1,4 @@
-"""Where a sidecar reads what the platform publishes."""
+"""Interfaces to the platform's store and the items in it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class StoreItem:
-    """An item of the platform's store; no value once it was deleted."""
+    """An item of the platform's store; a deleted one has no value."""
 
     key: str
     value: bytes | None
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What was read and the store's revision up to which nothing is missing.
+    """Items read from the store, complete up to a revision.
 
     Attributes
     ----------
     lists_evacuations : bool
-        Whether all evacuations in force are among the items, changed or not.
+        Whether the items include all evacuations in force, even unchanged ones.
     """
 
     items: tuple[StoreItem, ...]
@@ -43,7 +43,7 @@
 
 
 class HistoryLostError(StoreError):
-    """The store has forgotten the changes since a revision."""
+    """The store no longer has the changes since a revision."""
 
     code = "store-history-lost"
 
@@ -55,7 +55,13 @@
 
 
 class ItemStore(ABC):
-    """The platform's store, as far as a sidecar reads it."""
+    """Read access of a sidecar to the platform's store.
+
+    Attributes
+    ----------
+    request_count : int
+        Requests sent to the store so far.
+    """
 
     request_count: int = 0
 
@@ -65,26 +71,29 @@
 
     @abstractmethod
     async def wait_for_changes(self, after: int) -> Changes:
-        """Return the changes after a revision once there are some, or none in a while.
+        """Wait for changes after a revision and return them; none after a timeout.
 
-        Raises StoreError, and HistoryLostError if everything has to be read anew.
+        Raises StoreError, or HistoryLostError if all items must be read again.
         """
 
     @abstractmethod
     async def catch_up(self, after: int) -> Changes:
-        """Return at once what has changed, of each item the newest state only.
+        """Return the newest state of the items changed after a revision.
 
-        All evacuations are listed if anything has changed.
+        The store answers without waiting. If anything has changed, the items include
+        all evacuations.
 
-        Raises StoreError, and HistoryLostError if everything has to be read anew.
+        Raises StoreError, or HistoryLostError if all items must be read again.
         """
 
     @abstractmethod
     async def endpoints_since(self, after: int) -> Changes:
-        """Return at once which endpoints have changed, whatever else has.
+        """Return the endpoints changed after a revision.
+
+        The store answers without waiting. Other items are not returned, but the
+        revision is that of the whole store.
 
-        The revision is that of the whole store. Raises StoreError, and HistoryLostError
-        if everything has to be read anew.
+        Raises StoreError, or HistoryLostError if all items must be read again.
         """
 
     @abstractmethod
@@ -93,11 +102,11 @@
 
     @abstractmethod
     def reconnect(self) -> None:
-        """End what is under way, so that the next read begins anew."""
+        """Abort requests in progress, so that the next read uses new connections."""
 
 
 class ItemDecoder(ABC):
-    """Turns the platform's items into the product's types."""
+    """Decodes the platform's items into the types of `core.mesh`."""
 
     ENDPOINT: ClassVar[str] = "endpoint"
     CONFIG: ClassVar[str] = "config"
@@ -105,24 +114,24 @@
 
     @abstractmethod
     def kind(self, key: str) -> str:
-        """Return what an item is, empty for what does not concern a sidecar."""
+        """Return the kind of an item, empty if a sidecar does not use it."""
 
     @abstractmethod
     def instance(self, key: str) -> str:
-        """Return the instance whose endpoint an item is."""
+        """Return the instance name of an endpoint's item."""
 
     @abstractmethod
     def endpoint(self, key: str, value: bytes) -> Endpoint:
-        """Return an endpoint; raise ItemError."""
+        """Return an item's endpoint; raise ItemError if it is invalid."""
 
     def evacuated_zone(self, key: str) -> str:  # noqa: ARG002
-        """Return the zone that an item evacuates; none on most platforms."""
+        """Return the zone that an item evacuates; empty on a platform without them."""
         return ""
 
     def check_evacuation(self, key: str, value: bytes) -> None:  # noqa: ARG002
-        """Raise ItemError unless an item evacuates a zone."""
+        """Raise ItemError unless an item is a valid evacuation."""
         raise ItemError("no evacuation")
 
     @abstractmethod
     def config(self, value: bytes) -> MeshConfig:
-        """Return a configuration; raise ItemError."""
+        """Return an item's configuration; raise ItemError if it is invalid."""
--- a/sequoiaspoke/sidecar/state.py
+++ b/sequoiaspoke/sidecar/state.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of the platform, from whom and as of when."""
+"""State of the platform as one sidecar knows it, with its revision and age."""
 
 from __future__ import annotations
 
@@ -24,31 +24,34 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.source import Changes
 
-# Age in seconds from which news of other nodes is asked for: above the time in which a
-# node notices that its readers are silent and reads for itself.
+# Age in seconds from which other nodes are asked for newer state: above the time after
+# which a node with silent readers reads the store itself.
 STALE_SECONDS = 2.5
-# Age in seconds from which this node denies no route, unless it is told its bound:
-# below the 2 s in which a version has to be in force, above the second or so between
-# two confirmations of a reader.
+# Default of `MeshState.max_no_route_age`: below the 2 s within which a version must be
+# in force, above the second or so between two confirmations of a reader.
 DEFAULT_MAX_NO_ROUTE_AGE = 1.5
 
 
 class MeshState:
-    """The configuration and endpoints in force here.
+    """The configuration, endpoints and evacuations that this node knows.
 
     Attributes
     ----------
     table : RouteTable or None
-        The newest configuration; it is replaced whole and never by an older one.
+        The configuration in force; replaced as a whole and never by an older one.
     as_of : float
-        When the store, or a node that had read it, confirmed that this is all it has.
+        When this state was last known to be all that the store has, confirmed by the
+        store or by a node that reads it.
     answered_at : float
-        When the store last answered this node, or one that told it, if with news that
-        are not read yet.
+        When the store last answered this node or one that reported it, even with
+        changes that are not read yet.
     read_at : float
         When the store last answered this node itself.
     max_no_route_age : float
-        Age in seconds from which a route that is not known may be too new.
+        Maximum age in seconds of a state by which a call is answered that it has no
+        route. Older state may lack a new route.
+    on_change : callable
+        Called when the state has changed or was confirmed by the store.
     """
 
     def __init__(
@@ -73,28 +76,28 @@
         self.item_parser = ItemParser(decoder, log, self.counts)
 
     def age(self, now: float) -> float:
-        """Return the seconds since all this was confirmed."""
+        """Return the seconds since this state was known to be complete."""
         return now - self.as_of
 
     def stale(self, now: float) -> bool:
-        """Return whether news may have been missed."""
+        """Return whether changes may have been missed."""
         return self.age(now) > STALE_SECONDS
 
     def may_lack_route(self, now: float) -> bool:
-        """Return whether a route may be in force that has not come here yet.
+        """Return whether a route may be in force that this node does not know yet.
 
-        A caller of such a route that is told there is none gives up for good. In a
-        storm of versions on narrow links one was 2.8 s on its way to a node that
-        denied it, as its readers had meanwhile been answered by the store.
+        A caller that is told that there is no route does not retry. When versions
+        follow each other quickly on slow links, one may take almost 3 s to arrive here,
+        while the store answers the readers all along; so `answered_at` does not decide.
         """
         return self.age(now) > self.max_no_route_age
 
     def members(self) -> list[Endpoint]:
         """Return the endpoints whose nodes take part in the mesh.
 
-        An entry by somebody else may be well formed and name a service that nobody has.
-        Counted in, two such would be taken for the readers of a zone, and nobody
-        would read for it.
+        A directory entry of another writer may be valid and name an unknown service.
+        If two such entries were included, they could be chosen as the readers of a
+        zone, and no node would read the store for it.
         """
         endpoints = [each.endpoint for each in self.directory.records.values()]
         if self.table is None:
@@ -104,7 +107,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether calls can be decided at all."""
+        """Return whether there is a configuration and at least one endpoint."""
         return self.table is not None and bool(self.directory.records)
 
     @property
@@ -112,10 +115,10 @@
         """Return the version of the configuration in force, 0 if there is none."""
         return self.table.config.version if self.table else 0
 
-    # From the store.
+    # Changes read from the store.
 
     def apply_snapshot(self, changes: Changes) -> None:
-        """Take every item of the store."""
+        """Apply a read of all items of the store."""
         self.record_store_answer()
         now = clock.now()
         endpoints: list[PublishedEndpoint] = []
@@ -138,7 +141,7 @@
         self.record_complete(changes.revision, now)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take what has changed in the store."""
+        """Apply changes read from the store."""
         self.record_store_answer()
         now = clock.now()
         before = self.directory.serial
@@ -149,9 +152,10 @@
         self.record_complete(changes.revision, now)
 
     def apply_endpoint_changes(self, changes: Changes, begun: float) -> None:
-        """Take the endpoints that have changed, as of when they were asked for.
+        """Apply changes of endpoints only, read by a request sent at `begun`.
 
-        What else has changed up to the same revision is not known by it.
+        Other items may have changed up to the same revision, so the state is not
+        complete up to it.
         """
         self.record_store_answer()
         before = self.directory.serial
@@ -161,15 +165,15 @@
         self.record_revision(changes.revision, begun)
 
     def record_revision(self, revision: int, when: float) -> None:
-        """Note the store's revision and as of when it was that."""
+        """Record the revision that the store had at a time."""
         if revision > self.revision:
-            # There are news that this node has not read. Others hear that it reads.
+            # There are unread changes. Subscribers still learn that this node reads.
             self.record_own_read(when)
         else:
             self.record_complete_as_of(when)
 
     def record_store_answer(self, when: float | None = None) -> None:
-        """Note that the store can be read, by this node now or by another."""
+        """Record that the store answered this node now, or another node at a time."""
         now = clock.now()
         when = now if when is None else when
         if self.directory.lapses.outage:
@@ -180,7 +184,7 @@
         self.directory.lapses.store_reached(when, gap)
 
     def record_store_failure(self, code: str, reason: str) -> None:
-        """Note that the store cannot be read."""
+        """Record that a read of the store failed."""
         self.counts["store-failed"] += 1
         if not self.directory.lapses.outage:
             self.log.event("store-lost", code=code, reason=reason)
@@ -188,31 +192,31 @@
         self.directory.lapses.store_lost()
 
     def record_complete(self, revision: int, now: float) -> None:
-        """Note up to which revision and as of when everything is known."""
+        """Record that the state is complete up to a revision, as of a time."""
         self.advance_revision(revision)
         self.record_complete_as_of(now)
 
     def advance_revision(self, revision: int) -> None:
-        """Note up to which revision everything is known."""
+        """Record that the state is complete up to a revision."""
         self.revision = max(self.revision, revision)
         self.directory.complete_to = self.revision
         self.evacuations.complete_to = self.revision
 
     def record_complete_as_of(self, when: float) -> None:
-        """Note that the store answered, and that all it had to tell had come."""
+        """Record that the state was complete when the store answered this node."""
         self.as_of = max(self.as_of, when)
         self.record_own_read(when)
 
     def record_own_read(self, when: float) -> None:
-        """Note that the store answered, whether or not it has news."""
+        """Record that the store answered this node, with or without changes."""
         self.answered_at = max(self.answered_at, when)
         self.read_at = max(self.read_at, when)
         self.on_change()
 
-    # Items.
+    # Items of the store.
 
     def apply_item(self, item: StoreItem, now: float) -> None:
-        """Take one item, new, changed or deleted."""
+        """Apply one new, changed or deleted item."""
         kind = self.decoder.kind(item.key)
         if kind == ItemDecoder.CONFIG and item.value is not None:
             self.apply_config_item(item)
@@ -230,17 +234,17 @@
                 )
 
     def apply_evacuation_item(self, item: StoreItem) -> None:
-        """Take the beginning or the end of an evacuation."""
+        """Apply the start or end of an evacuation."""
         evacuation = self.item_parser.evacuation(item)
         if evacuation is not None:
             self.evacuations.apply(evacuation)
         self.apply_evacuations("store")
 
     def end_missing_evacuations(self, changes: Changes) -> None:
-        """End the evacuations that a read of all of them did not find."""
+        """End the evacuations that are missing from a list of all of them."""
         if not changes.lists_evacuations:
             return
-        # One that was written over, so that it cannot be read, stands as it stood.
+        # An evacuation whose item was overwritten with an invalid one stays in force.
         evacuated_zones = (
             self.decoder.evacuated_zone(item.key)
             for item in changes.items
@@ -251,7 +255,7 @@
         self.apply_evacuations("store")
 
     def apply_evacuations(self, source: str) -> None:
-        """Act on the evacuations in force, and log what changed."""
+        """Exclude the endpoints of evacuated zones, and log what changed."""
         grouping, zones = self.directory.grouping, self.evacuations.zones
         before = grouping.excluded_zones
         if zones != before:
@@ -259,7 +263,7 @@
             log_evacuations(self.log, self.directory, before, source)
 
     def apply_removal(self, item: StoreItem, now: float) -> None:
-        """Take the end of an endpoint's entry."""
+        """Apply the deletion of an endpoint's entry."""
         instance = self.decoder.instance(item.key)
         removed = self.directory.remove(instance, item.revision, now)
         if not removed and instance in self.directory.lapses.kept_until:
@@ -268,7 +272,7 @@
             )
 
     def apply_config_item(self, item: StoreItem) -> None:
-        """Take a configuration if it is newer and whole."""
+        """Apply a configuration if it is newer and valid."""
         if item.revision <= self.config_revision:
             return
         config = self.item_parser.config(item)
@@ -281,28 +285,28 @@
         self.config_revision = item.revision
 
     def is_newer(self, version: int) -> bool:
-        """Return whether a version comes after the one in force."""
+        """Return whether a version is newer than the one in force."""
         return self.table is None or version > self.table.config.version
 
     def install(self, config: MeshConfig) -> None:
-        """Put a newer configuration into force."""
+        """Add a newer configuration to the history and put it into force."""
         shared = self.history.install(config)
         assert shared is not None
         self.activate(shared)
 
     def activate(self, config: MeshConfig) -> None:
-        """Decide calls by a version from now on."""
+        """Route calls by a configuration from now on."""
         self.table = RouteTable(config)
         self.installed_at = clock.now()
         self.counts["config-taken"] += 1
         self.log.event("config", version=config.version, routes=len(config.routes))
 
-    # From other nodes.
+    # Exchange with other nodes.
 
     def apply_update(self, update: StateUpdate) -> None:
-        """Take what another node knows; KeyError if its configuration has no base here.
+        """Apply the state of another node where it is newer than this one's.
 
-        Each item is taken only if it is newer than what is known of it.
+        Raises KeyError if it has a configuration delta whose base is not known here.
         """
         now = clock.now()
         if update.config is not None and self.is_newer(update.config.version):
@@ -329,17 +333,17 @@
         self.on_change()
 
     def record_remote_answer(self, when: float) -> None:
-        """Note that the store answered another node at a time.
+        """Record that the store answered another node at a time.
 
-        A node that had lost it and then left reading to its readers would else doubt
-        the next entry that vanishes, however much later, and go on sending calls to an
-        upstream that has left.
+        This ends an outage for a node that lost the store and now relies on its
+        readers. Otherwise the next entry that vanishes, however much later, would be
+        kept as one lost in the outage, and calls sent to an upstream that has left.
         """
         if when > max(self.store_failed_at, self.answered_at):
             self.record_store_answer(when)
 
     def update_since(self, serial: int, version: int) -> StateUpdate:
-        """Return what is known here beyond a count of changes and a version."""
+        """Return what changed since a serial of the directory and a version."""
         records, departures = self.directory.changed_since(serial)
         now = clock.now()
         return StateUpdate(
@@ -362,7 +366,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Give up on entries that stayed missing after an outage."""
+        """Remove the endpoints whose entries stayed missing after an outage."""
         for instance in self.directory.expire(now):
             self.log.event("endpoint-gone", instance=instance, reason="lapsed")
             self.on_change()
@@ -371,8 +375,8 @@
 def latest_per_key(items: tuple[StoreItem, ...]) -> list[StoreItem]:
     """Return the last change of each key, in the order of the changes.
 
-    Versions that were replaced before they were read need not be decoded: in a storm
-    of changes that is most of the work.
+    So versions that were replaced before they were read are not decoded, which saves
+    most of the work when many changes arrive at once.
     """
     newest = {item.key: item for item in items}
     return sorted(newest.values(), key=lambda item: item.revision)
