--- a/sequoiaspoke/sidecar/logs.py
+++ b/sequoiaspoke/sidecar/logs.py
@@ -1,9 +1,9 @@
-"""One line of key=value pairs an event on standard output, bounded.
+"""Log events as lines of key=value pairs on standard output, at a limited rate.
 
-A flood of failures is when the log matters and when it would cost most. Each kind of
-event has a budget of lines a second; what goes beyond is counted and said in one
-line. Standard output is written without blocking: a reader that stands still
-costs lines and delays no call.
+When many calls fail, the log is needed most and would cost most. Each kind of event is
+limited to a number of lines per second; further ones are counted and reported in one
+line. Standard output is written without blocking: if its reader hangs, lines are
+dropped and no call is delayed.
 """
 
 from __future__ import annotations
@@ -21,13 +21,19 @@
     from sequoiaspoke.core.mesh.outcome import Request
 
 STDOUT = 1
-# Lines a second of one kind of event; enough to see each of a few failures, and with
-# ten kinds at once no more than a few hundredths of a core.
+# Maximum lines per second of one kind of event: enough to see each of a few failures;
+# with ten kinds at once it takes no more than a few hundredths of a core.
 MAX_LINES_PER_SECOND = 20
 
 
 class DroppingOutput:
-    """Write lines that fit into the pipe and count the others."""
+    """Writes lines that fit into the pipe and counts the others.
+
+    Attributes
+    ----------
+    dropped : int
+        Lines that were not written.
+    """
 
     def __init__(self, descriptor: int = STDOUT) -> None:
         self.descriptor = descriptor
@@ -35,20 +41,28 @@
         try:
             os.set_blocking(descriptor, False)
         except OSError:
-            # Some descriptors cannot be switched; a file does not block anyway.
+            # Not all descriptors can be switched; a file does not block anyway.
             self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Write a line or drop it."""
+        """Write a line, or drop it if the write would block or fails."""
         try:
             os.write(self.descriptor, text.encode())
         except OSError:
-            # Nobody reads; the count is on the metrics page.
+            # The pipe is full or closed; the metrics page shows the count.
             self.dropped += 1
 
 
 class EventLog:
-    """The log of a sidecar."""
+    """The log of a sidecar.
+
+    Attributes
+    ----------
+    line_counts : Counter of str
+        Events of the current second, by kind.
+    suppressed : Counter of str
+        Events of the current second beyond the limit, by kind.
+    """
 
     def __init__(self, call_id_header: str) -> None:
         self.call_id_header = call_id_header
@@ -57,7 +71,7 @@
         self.suppressed: Counter[str] = Counter()
 
     def allowed(self, kind: str) -> bool:
-        """Return whether there is room for a line of a kind."""
+        """Count an event; return whether it is within the limit of its kind."""
         second = int(clock.now())
         if second != self.current_second:
             self.current_second = second
@@ -70,27 +84,27 @@
         return False
 
     def report_suppressed(self) -> None:
-        """Say how many lines the second before had too many."""
+        """Log how many lines were suppressed in the previous second."""
         suppressed, self.suppressed = self.suppressed, Counter()
         for kind, count in suppressed.items():
             logger.bind(kind=kind, count=count).warning("lines-left-out")
 
     def event(self, kind: str, **pairs: object) -> None:
-        """Log a change of what this process does or believes."""
+        """Log an event of this process that belongs to no call."""
         if self.allowed(kind):
             logger.bind(**pairs).info(kind)
 
     def call(self, kind: str, request: Request, **pairs: object) -> None:
-        """Log a decision on a call, with the call's id."""
+        """Log a decision on a call, with its id."""
         if self.allowed(kind):
             call_id = request.header(self.call_id_header)
             logger.bind(id=call_id, **pairs).warning(kind)
 
     def request(self, kind: str, request: Request, **pairs: object) -> None:
-        """Log a decision on what a call asks for, with its id and fingerprint.
+        """Log a decision on a call, with its id and the request's fingerprint.
 
-        The fingerprint is a digest of the body too, so that no line that is left out
-        pays for one.
+        The fingerprint is a digest that includes the body, so it is computed only for
+        lines that are logged.
         """
         if self.allowed(kind):
             call_id, fingerprint = (
@@ -101,7 +115,7 @@
 
 
 def configure_output() -> DroppingOutput:
-    """Send the log to standard output."""
+    """Send the log to standard output; return the output."""
     output = DroppingOutput()
     logger.remove()
     logger.add(output, level="INFO", format=format_line, enqueue=False, colorize=False)
--- a/sequoiaspoke/sidecar/metrics.py
+++ b/sequoiaspoke/sidecar/metrics.py
@@ -1,8 +1,8 @@
 """The metrics page of a sidecar.
 
-The hot path adds to plain counters. The library that publishes them is imported when
-the page is first asked for, so that a node without a collector pays neither its memory
-nor its part of the start.
+Calls only increment plain counters. The library that publishes them is imported at the
+first request of the page, so that a node without a collector saves its memory and its
+import time at the start.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class SidecarMetrics:
-    """Counters and gauges of a sidecar's parts."""
+    """Publishes counters and gauges of a sidecar's parts."""
 
     def __init__(self, sidecar: Sidecar, output: DroppingOutput) -> None:
         self.sidecar = sidecar
@@ -55,13 +55,13 @@
         self.metrics: Metrics | None = None
 
     def page(self) -> bytes:
-        """Return the page in the collectors' text format."""
+        """Return the page in the text format of the collectors."""
         if self.metrics is None:
             self.metrics = self.build()
         return self.metrics.page()
 
     def build(self) -> Metrics:
-        """Publish everything under its name."""
+        """Register all counters, quantiles and gauges under their names."""
         from sequoiaspoke.node.metrics import Metrics
 
         metrics = Metrics()
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -1,4 +1,4 @@
-"""What a sidecar believes, for the operators' status command."""
+"""The status page of a sidecar, read by the `status` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def status_page(node: Sidecar) -> bytes:
-    """Return the node at a glance, with the names that the product's node uses."""
+    """Return the status of a node as JSON, with the keys of the other node kind."""
     state, home, entry = node.state, node.home, node.entry
     now = clock.now()
     cold = home.admission.cold_start
@@ -54,7 +54,7 @@
 
 
 def held_requests(quarantine: Quarantine, now: float) -> list[dict[str, object]]:
-    """Return what is held back, for how long, and the upstreams that ended under it."""
+    """Return the requests in quarantine, their seconds left and their crashes."""
     return [
         {
             "fingerprint": fingerprint,
--- a/sequoiaspoke/tests/test_sidecar_logs.py
+++ b/sequoiaspoke/tests/test_sidecar_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar's log: bounded, and never in the way."""
+"""Tests of the sidecar's log: limited in rate, and never blocking."""
 
 import os
 import runpy
@@ -27,28 +27,30 @@
         self.addCleanup(logger.remove, sink)
         self.log = EventLog("x-request-id")
 
-    def test_a_line_names_the_call_and_what_decided(self):
+    def test_a_line_has_the_call_id_and_the_reason(self):
         self.log.call("call-refused", CALL, reason="no-time", left="0.1")
         (line,) = self.lines
         self.assertIn('event=call-refused id="c 1" reason=no-time left=0.1', line)
 
-    def test_a_flood_of_failures_is_bounded_and_said(self):
-        # Every call fails for a minute. Logged line by line, the log takes the
-        # processor that the calls need.
+    def test_excess_lines_of_an_event_are_suppressed_and_counted(self):
+        # Every call fails for a minute. With a line for each, the log would take the
+        # processor time that the calls need.
         for _ in range(1000):
             self.log.call("call-failed", CALL)
         self.log.call("hedge", CALL)
         self.assertEqual(len(self.lines), MAX_LINES_PER_SECOND + 1)
         self.now += 1
         self.log.call("call-failed", CALL)
-        told = [line for line in self.lines if "lines-left-out" in line]
-        self.assertIn(f"kind=call-failed count={1000 - MAX_LINES_PER_SECOND}", told[0])
+        reported = [line for line in self.lines if "lines-left-out" in line]
+        self.assertIn(
+            f"kind=call-failed count={1000 - MAX_LINES_PER_SECOND}", reported[0]
+        )
 
 
 class DroppingOutputTests(TestCase):
-    def test_a_reader_that_stands_still_costs_lines_and_no_time(self):
-        # Whatever collects the lines hangs and its pipe fills. A write that waited for
-        # it would stop every call of the node.
+    def test_a_hanging_reader_causes_dropped_lines_and_no_blocking(self):
+        # The collector of the lines hangs and its pipe is full. A blocking write would
+        # stop all calls of the node.
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -64,9 +66,9 @@
 
 class EventsTests(TestCase):
     def test_every_event_that_is_logged_has_a_meaning(self):
-        # On call, an event that no page explains is a question at night.
+        # The reference page must explain each event that an operator may see.
         reference = runpy.run_path(str(ROOT / "tools" / "reference.py"))
         written = set(reference["event_pairs"]())
         self.assertEqual(written - set(EVENTS), set())
-        # One is written without the log's methods.
+        # This event is logged without the methods of EventLog.
         self.assertEqual(set(EVENTS) - written, {"lines-left-out"})
