--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -43,8 +43,8 @@
 CALLERS_TICK_SECONDS = 0.5
 # If more seconds than this pass between two ticks, the VM was paused.
 PAUSE_SECONDS = 1.0
-# Fraction of the time within which a version must be in force. A node that was not
-# confirmed for longer no longer answers that a route does not exist.
+# Fraction of the time within which a version must be in force. A node whose state was
+# not confirmed for longer refuses calls without a route in place of answering 404.
 NO_ROUTE_AGE_FRACTION = 0.75
 # Seconds for which a stopping node keeps serving without calls in progress. Callers are
 # moved away after two readiness checks, a second apart, have failed.
--- a/sequoiaspoke/sidecar/crashdetector.py
+++ b/sequoiaspoke/sidecar/crashdetector.py
@@ -28,7 +28,7 @@
 
 # Seconds within which all connections to a crashed upstream are lost.
 ALL_LOST_SECONDS = 0.05
-# Seconds between two checks whether they are.
+# Seconds between two checks for calls that are not lost yet.
 POLL_SECONDS = 0.005
 
 
