--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -1,4 +1,4 @@
-"""What a sidecar believes, for the operators' status command."""
+"""The status page of a sidecar, read by the `status` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def status_page(node: Sidecar) -> bytes:
-    """Return the node at a glance, with the names that the product's node uses."""
+    """Return the status of a node as JSON, with the keys of the other node kind."""
     state, home, entry = node.state, node.home, node.entry
     now = clock.now()
     cold = home.admission.cold_start
@@ -23,7 +23,7 @@
         "zone": node.settings.zone,
         "target": node.settings.service,
         "version": state.version,
-        "installed_at": time.time() - (now - state.installed),
+        "installed_at": time.time() - (now - state.installed_at),
         "learnt_from": "store" if node.duty.must_read(now) else "readers",
         "in_flight": home.admission.running,
         "queued": home.admission.waiting,
@@ -47,14 +47,14 @@
             "cold-bound": cold.max_calls,
             "readers": list(node.duty.readers),
             "links": sum(link.established for link in node.peers.links.values()),
-            "store-reads": node.follower.store.calls,
+            "store-reads": node.follower.store.request_count,
         },
     }
     return json.dumps(page, indent=2).encode()
 
 
 def held_requests(quarantine: Quarantine, now: float) -> list[dict[str, object]]:
-    """Return what is held back, for how long, and the upstreams that ended under it."""
+    """Return the requests in quarantine, their seconds left and their crashes."""
     return [
         {
             "fingerprint": fingerprint,
