--- a/sequoiaspoke/core/admission/admission.py
+++ b/sequoiaspoke/core/admission/admission.py
@@ -15,8 +15,8 @@
 
 from sequoiaspoke.core.admission.durations import Durations
 from sequoiaspoke.core.admission.health import UpstreamHealth
-from sequoiaspoke.core.admission.lanes import Lanes
 from sequoiaspoke.core.admission.limit import UNBOUNDED, make_limit
+from sequoiaspoke.core.admission.longcalls import LongCallLimiter
 from sequoiaspoke.core.admission.model import (
     Arrival,
     Queued,
@@ -33,23 +33,23 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from sequoiaspoke.core.admission.queue import Given
+    from sequoiaspoke.core.admission.queue import Refusal
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.errors import CallError
 
-LEAST_RETRY_AFTER = 1.0  # seconds; HTTP knows no fractions
-MOST_RETRY_AFTER = 30.0
-FIRST_DURATION = 0.05  # seconds a call is taken to last before any has ended
+MIN_RETRY_AFTER = 1.0  # seconds; HTTP knows no fractions
+MAX_RETRY_AFTER = 30.0
+DEFAULT_DURATION = 0.05  # seconds a call is taken to last before any has ended
 
 
 @dataclass(frozen=True)
-class Running:
+class RunningCall:
     """A call that holds a slot."""
 
     arrival: Arrival
-    since: float
-    charged: float
-    beside: int
+    started_at: float
+    expected_cost: float
+    concurrency: int
     is_long: bool
 
 
@@ -70,9 +70,9 @@
         self.limit = make_limit(settings, slots)
         self.durations = Durations()
         self.shares = Shares()
-        self.lanes = Lanes(settings, self.durations)
+        self.long_calls = LongCallLimiter(settings, self.durations)
         self.queue = make_queue(settings, self.durations, self.shares)
-        self.running: dict[int, Running] = {}
+        self.running: dict[int, RunningCall] = {}
         self.long_running = 0
         self.reserved = 0
         self.draining = False
@@ -85,15 +85,15 @@
             return [self.refuse((call, RefusalReason.DRAINING))]
         if call.deadline <= now:
             return [self.refuse((call, RefusalReason.DEADLINE_TOO_CLOSE))]
-        self.lanes.arrived(call.kind, now)
+        self.long_calls.arrived(call.kind, now)
         if not len(self.queue) and self.has_slot(call, now):
             return [self.start(call, now)]
-        given = self.queue.push(call, self.rate(), now)
-        verdicts = [self.refuse(each) for each in given]
+        refusals = self.queue.push(call, self.completion_rate(), now)
+        verdicts = [self.refuse(each) for each in refusals]
         if all(verdict.call != call.call for verdict in verdicts):
             verdicts.append(Queued(call.call))
         # Slots kept from the long calls that wait may be free for this one.
-        return verdicts + self.fill(now)
+        return verdicts + self.start_waiting(now)
 
     def release(
         self, call: int, outcome: Outcome, latency: float, now: float
@@ -111,18 +111,18 @@
         if running is None:
             return []
         self.long_running -= running.is_long
-        held = now - running.since
+        held = now - running.started_at
         arrival = running.arrival
-        self.shares.charge(arrival, held - running.charged)
+        self.shares.charge(arrival, held - running.expected_cost)
         if outcome is Outcome.ANSWERED:
             self.health.answered(now)
             self.durations.add(arrival.kind, held, latency)
-            self.lanes.finished(arrival.kind, held, now)
-            self.limit.answered(arrival.kind, latency, running.beside, now)
+            self.long_calls.finished(arrival.kind, held, now)
+            self.limit.answered(arrival.kind, latency, running.concurrency, now)
         elif outcome is Outcome.FAILED:
             self.health.connection_refused()
         elif outcome is Outcome.REFUSED:
-            self.limit.shed(running.beside, now)
+            self.limit.shed(running.concurrency, now)
         return self.tick(now)
 
     def cancel(self, call: int) -> bool:
@@ -132,7 +132,7 @@
     def tick(self, now: float) -> list[Verdict]:
         """Give up on what is too late and start what fits; call it often."""
         verdicts: list[Verdict] = [self.refuse(each) for each in self.queue.expire(now)]
-        return verdicts + self.fill(now)
+        return verdicts + self.start_waiting(now)
 
     def drain(self) -> None:
         """Take no new calls; those that wait or run finish."""
@@ -151,24 +151,26 @@
             state,
         )
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the slots that nothing holds."""
         return self.limit.current() - self.reserved - len(self.running)
 
     def has_slot(self, call: Arrival, now: float) -> bool:
         """Return whether a call may start now."""
-        free = self.free()
+        free = self.free_slots()
         if free <= 0:
             return False
-        if not self.lanes.is_long(call.kind):
+        if not self.long_calls.is_long(call.kind):
             return True
         limit = self.limit.current() - self.reserved
-        return self.long_running < max(1, limit - self.lanes.kept(limit, now))
+        return self.long_running < max(
+            1, limit - self.long_calls.slots_for_short(limit, now)
+        )
 
-    def fill(self, now: float) -> list[Verdict]:
+    def start_waiting(self, now: float) -> list[Verdict]:
         """Start waiting calls while slots are free."""
         verdicts: list[Verdict] = []
-        while len(self.queue) and self.free() > 0:
+        while len(self.queue) and self.free_slots() > 0:
             call = self.queue.pop(lambda each: self.has_slot(each, now), now)
             if call is None:
                 break
@@ -179,20 +181,20 @@
         """Give a slot to a call."""
         cost = self.durations.expected(call.kind)
         self.shares.start(call, cost)
-        is_long = self.lanes.is_long(call.kind)
-        beside = len(self.running) + self.reserved + 1
-        self.running[call.call] = Running(call, now, cost, beside, is_long)
+        is_long = self.long_calls.is_long(call.kind)
+        concurrency = len(self.running) + self.reserved + 1
+        self.running[call.call] = RunningCall(call, now, cost, concurrency, is_long)
         self.long_running += is_long
         return Started(call.call)
 
-    def rate(self) -> float:
+    def completion_rate(self) -> float:
         """Estimate the calls that the target finishes per second."""
-        mean = self.durations.all.held.mean or FIRST_DURATION
+        mean = self.durations.overall.held.mean or DEFAULT_DURATION
         return max(1, self.limit.current() - self.reserved) / mean
 
-    def refuse(self, given: Given) -> Refused:
+    def refuse(self, refusal: Refusal) -> Refused:
         """Make the final answer of a call that is given up on."""
-        call, reason = given
+        call, reason = refusal
         self.refused[reason] += 1
         return Refused(call.call, reason, self.error(reason))
 
@@ -209,5 +211,5 @@
 
         Without the spread all that were refused together return together.
         """
-        seconds = LEAST_RETRY_AFTER + len(self.queue) / self.rate()
-        return min(MOST_RETRY_AFTER, seconds * (1 + self.rng.random()))
+        seconds = MIN_RETRY_AFTER + len(self.queue) / self.completion_rate()
+        return min(MAX_RETRY_AFTER, seconds * (1 + self.rng.random()))
--- a/sequoiaspoke/core/admission/health.py
+++ b/sequoiaspoke/core/admission/health.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.admission.settings import AdmissionSettings
 
-REFUSED_CONNECTIONS = 3
+DOWN_THRESHOLD = 3
 
 
 class UpstreamHealth:
@@ -28,34 +28,34 @@
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
-        self.refused = 0
-        self.drained_at = float("-inf")
-        self.answered_first = float("inf")
+        self.refused_connections = 0
+        self.draining_at = float("-inf")
+        self.first_answer_at = float("inf")
 
     def answered(self, now: float) -> None:
         """Note an answer."""
-        if self.answered_first == float("inf") or self.is_down():
-            self.answered_first = now
-        self.refused = 0
+        if self.first_answer_at == float("inf") or self.is_down():
+            self.first_answer_at = now
+        self.refused_connections = 0
 
-    def said_draining(self, now: float) -> None:
+    def upstream_draining(self, now: float) -> None:
         """Note that the upstream refused a call because it drains."""
-        self.drained_at = now
+        self.draining_at = now
 
     def connection_refused(self) -> None:
         """Note that no connection could be opened."""
-        self.refused += 1
+        self.refused_connections += 1
 
     def is_down(self) -> bool:
         """Return whether the upstream takes no connections."""
-        return self.refused >= REFUSED_CONNECTIONS
+        return self.refused_connections >= DOWN_THRESHOLD
 
     def state(self, now: float) -> UpstreamState:
         """Return what to tell other nodes."""
-        if now - self.drained_at < self.settings.drain_memory:
+        if now - self.draining_at < self.settings.drain_memory:
             return UpstreamState.LEAVING
         if self.is_down():
             return UpstreamState.DOWN
-        if now - self.answered_first < self.settings.warm_up:
+        if now - self.first_answer_at < self.settings.warm_up:
             return UpstreamState.COLD
         return UpstreamState.READY
--- a/sequoiaspoke/core/admission/limit.py
+++ b/sequoiaspoke/core/admission/limit.py
@@ -24,7 +24,7 @@
 WEIGHT = 0.1  # of the newest call in the mean ratio
 CALIBRATION_CALLS = 5  # at least, for the latency at half the limit
 UNBOUNDED = 1 << 30
-KINDS = 256
+MAX_KINDS = 256
 
 
 class Limit(ABC):
@@ -46,7 +46,7 @@
         self,
         kind: str,
         latency: float,
-        beside: int,
+        concurrency: int,
         now: float,
     ) -> None:
         """Learn from an answer.
@@ -84,89 +84,92 @@
 
     def __init__(self, settings: AdmissionSettings, slots: int) -> None:
         super().__init__(settings, slots)
-        self.least = max(1.0, settings.least_share * self.slots)
+        self.minimum = max(1.0, settings.least_share * self.slots)
         self.value = float(self.slots)
         self.baselines: dict[str, float] = {}
         self.baseline_at = float("-inf")
         self.ratio = 1.0
-        self.round = 0
-        self.reached = False
-        self.compared = 0
-        self.calibrating = 0
+        self.answers_in_round = 0
+        self.limit_reached = False
+        self.compared_answers = 0
+        self.calibration_answers_left = 0
         self.shed_level = 0
         self.shed_at = float("-inf")
-        self.before = self.value
-        self.grown = False
+        self.value_before_fall = self.value
+        self.grown_since_fall = False
 
     def resize(self, slots: int) -> None:
         """Take over the slots of a new version; what was learnt stays."""
-        unlearnt = self.value >= self.slots
+        at_maximum = self.value >= self.slots
         super().resize(slots)
-        if unlearnt:
+        if at_maximum:
             self.value = float(self.slots)
-        self.least = max(1.0, self.settings.least_share * self.slots)
-        self.value = min(max(self.value, self.least), float(self.slots))
+        self.minimum = max(1.0, self.settings.least_share * self.slots)
+        self.value = min(max(self.value, self.minimum), float(self.slots))
 
     def current(self) -> int:
         """Return the learnt limit, or half of it while calibrating."""
-        value = self.value / 2 if self.calibrating else self.value
+        value = self.value / 2 if self.calibration_answers_left else self.value
         return max(1, math.floor(value))
 
-    def answered(self, kind: str, latency: float, beside: int, now: float) -> None:
+    def answered(self, kind: str, latency: float, concurrency: int, now: float) -> None:
         """Learn from an answer; decide once a round of `limit` answers."""
-        if beside <= max(1, self.value / 2):
-            self.calm(kind, latency, now)
+        if concurrency <= max(1, self.value / 2):
+            self.update_baseline(kind, latency, now)
         elif kind in self.baselines:
             ratio = latency / max(self.baselines[kind], 1e-6)
             self.ratio += WEIGHT * (ratio - self.ratio)
-            self.compared += 1
-        self.reached = self.reached or beside >= math.floor(self.value)
-        self.round += 1
-        if self.round >= math.floor(self.value) and not self.calibrating:
-            self.decide(now)
-
-    def calm(self, kind: str, latency: float, now: float) -> None:
+            self.compared_answers += 1
+        self.limit_reached = self.limit_reached or concurrency >= math.floor(self.value)
+        self.answers_in_round += 1
+        if (
+            self.answers_in_round >= math.floor(self.value)
+            and not self.calibration_answers_left
+        ):
+            self.adjust(now)
+
+    def update_baseline(self, kind: str, latency: float, now: float) -> None:
         """Take in the latency of a call that ran beside few others."""
-        before = self.baselines.get(kind)
-        if before is None or self.calibrating:
-            weight = 2 * WEIGHT if before is not None else 1.0
+        baseline = self.baselines.get(kind)
+        if baseline is None or self.calibration_answers_left:
+            weight = 2 * WEIGHT if baseline is not None else 1.0
         else:
             weight = WEIGHT
-        self.baselines[kind] = weight * latency + (1 - weight) * (before or 0.0)
-        if len(self.baselines) > KINDS:
+        self.baselines[kind] = weight * latency + (1 - weight) * (baseline or 0.0)
+        if len(self.baselines) > MAX_KINDS:
             self.baselines.pop(next(iter(self.baselines)))
-        if not self.calibrating:
+        if not self.calibration_answers_left:
             return
-        self.calibrating -= 1
-        if self.calibrating == 0:
+        self.calibration_answers_left -= 1
+        if self.calibration_answers_left == 0:
             self.baseline_at = now
             self.begin_round(1.0)
 
-    def decide(self, now: float) -> None:
+    def adjust(self, now: float) -> None:
         """Move the limit at the end of a round."""
         outdated = now - self.baseline_at > self.settings.calibration_age
         # Overloaded from its first call on, a target never runs calls beside
         # few others, and nothing would ever be compared.
-        blind = self.reached and not self.compared
-        if outdated and (blind or self.ratio > self.settings.tolerance):
+        never_compared = self.limit_reached and not self.compared_answers
+        if outdated and (never_compared or self.ratio > self.settings.tolerance):
             self.calibrate()
             return
         if self.ratio > self.settings.tolerance:
             self.lower(self.value)
-        elif self.reached and self.may_grow(now):
+        elif self.limit_reached and self.may_grow(now):
             # Half of the way back to where the limit was before it fell, so
             # that what an outage took is back within a few rounds.
-            step = max(1.0, (self.before - self.value) / 2)
+            step = max(1.0, (self.value_before_fall - self.value) / 2)
             self.value = min(float(self.slots), self.value + step)
-            self.grown = True
+            self.grown_since_fall = True
         self.begin_round(self.ratio)
 
     def lower(self, level: float) -> None:
         """Go a step below a level, remembering where a fall began."""
-        if self.grown:
-            self.before = self.value
-            self.grown = False
-        self.value = max(self.least, level * self.settings.decrease)
+        if self.grown_since_fall:
+            self.value_before_fall = self.value
+            self.grown_since_fall = False
+        self.value = max(self.minimum, level * self.settings.decrease)
 
     def may_grow(self, now: float) -> bool:
         """Return whether the limit may pass the level of the last shed.
@@ -174,7 +177,7 @@
         Calls shed at the floor were not shed for their number; waiting after
         an outage would only lengthen it.
         """
-        if self.shed_level <= self.least:
+        if self.shed_level <= self.minimum:
             return True
         if self.value + 1 < self.shed_level:
             return True
@@ -182,16 +185,16 @@
 
     def calibrate(self) -> None:
         """Run at half the limit until the latency there is known anew."""
-        self.calibrating = max(CALIBRATION_CALLS, math.floor(self.value))
+        self.calibration_answers_left = max(CALIBRATION_CALLS, math.floor(self.value))
         # Kinds that no call of this calibration shows would go on being
         # compared with how the upstream was before.
         self.baselines.clear()
 
     def begin_round(self, ratio: float) -> None:
         """Start counting answers anew."""
-        self.round = 0
-        self.reached = False
-        self.compared = 0
+        self.answers_in_round = 0
+        self.limit_reached = False
+        self.compared_answers = 0
         self.ratio = ratio
 
     def shed(self, running: int, now: float) -> None:
--- a/sequoiaspoke/core/admission/lanes.py
+++ b/sequoiaspoke/core/admission/longcalls.py
@@ -20,20 +20,20 @@
     from sequoiaspoke.core.admission.durations import Durations
     from sequoiaspoke.core.admission.settings import AdmissionSettings
 
-HEADROOM = 1.5
-MOST_KEPT = 0.5
-USE_SECONDS = 1.0  # over which the use by short work is averaged
+SHORT_USE_FACTOR = 1.5
+MAX_SHORT_SHARE = 0.5
+AVERAGING_SECONDS = 1.0  # over which the use by short work is averaged
 
 
-class Lanes:
+class LongCallLimiter:
     """Tell long work from short and bound the slots of long work."""
 
     def __init__(self, settings: AdmissionSettings, durations: Durations) -> None:
         self.settings = settings
         self.durations = durations
-        self.short_at = float("-inf")
+        self.last_short_arrival = float("-inf")
         self.short_use = 0.0
-        self.counted_at = 0.0
+        self.short_use_updated_at = 0.0
 
     def is_long(self, kind: str) -> bool:
         """Return whether calls of a kind are long work."""
@@ -42,22 +42,22 @@
     def arrived(self, kind: str, now: float) -> None:
         """Note an arrival."""
         if not self.is_long(kind):
-            self.short_at = now
+            self.last_short_arrival = now
 
     def finished(self, kind: str, seconds: float, now: float) -> None:
         """Note how long a call held its slot."""
         if self.is_long(kind):
             return
-        gap = max(0.0, now - self.counted_at)
-        self.counted_at = now
-        self.short_use *= math.exp(-gap / USE_SECONDS)
-        self.short_use += seconds / USE_SECONDS
+        gap = max(0.0, now - self.short_use_updated_at)
+        self.short_use_updated_at = now
+        self.short_use *= math.exp(-gap / AVERAGING_SECONDS)
+        self.short_use += seconds / AVERAGING_SECONDS
 
-    def kept(self, limit: int, now: float) -> int:
+    def slots_for_short(self, limit: int, now: float) -> int:
         """Return the slots that long work leaves free."""
-        if now - self.short_at > self.settings.long_memory:
+        if now - self.last_short_arrival > self.settings.long_memory:
             return 0
-        if not self.durations.short:
+        if not self.durations.short_duration:
             return 0
-        wanted = max(1, math.ceil(HEADROOM * self.short_use))
-        return min(wanted, math.floor(MOST_KEPT * limit))
+        wanted = max(1, math.ceil(SHORT_USE_FACTOR * self.short_use))
+        return min(wanted, math.floor(MAX_SHORT_SHARE * limit))
--- a/sequoiaspoke/core/admission/queue.py
+++ b/sequoiaspoke/core/admission/queue.py
@@ -32,11 +32,11 @@
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.core.admission.shares import Shares
 
-SHARES = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
+PRIORITY_WEIGHTS = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
 
-TELLING_SECONDS = 0.03  # a look at the queue every 20 ms, and the way back
+REFUSAL_DELIVERY_SECONDS = 0.03  # a look at the queue every 20 ms, and the way back
 
-Given = tuple["Arrival", RefusalReason]
+Refusal = tuple["Arrival", RefusalReason]
 
 
 class CallQueue(ABC):
@@ -47,7 +47,7 @@
         """Return how many wait."""
 
     @abstractmethod
-    def push(self, call: Arrival, rate: float, now: float) -> list[Given]:
+    def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
         """Let a call wait; return the calls given up on, it or others.
 
         Parameters
@@ -65,7 +65,7 @@
         """Take out a call whose caller went away."""
 
     @abstractmethod
-    def expire(self, now: float) -> list[Given]:
+    def expire(self, now: float) -> list[Refusal]:
         """Take out the calls to give up on by now."""
 
 
@@ -85,7 +85,7 @@
         call: Arrival,
         rate: float,  # noqa: ARG002
         now: float,  # noqa: ARG002
-    ) -> list[Given]:
+    ) -> list[Refusal]:
         """Append a call unless the queue is full."""
         if len(self.calls) >= self.settings.queue_calls:
             return [(call, RefusalReason.QUEUE_FULL)]
@@ -108,30 +108,30 @@
                 return True
         return False
 
-    def expire(self, now: float) -> list[Given]:  # noqa: ARG002
+    def expire(self, now: float) -> list[Refusal]:  # noqa: ARG002
         """Keep everything."""
         return []
 
 
-class Waiting:
+class WaitingCalls:
     """The calls of one priority that wait.
 
     Attributes
     ----------
-    time : float
+    virtual_time : float
         Virtual time of the priority, which advances with each call served.
     """
 
-    def __init__(self, wait: float) -> None:
-        self.wait = wait
+    def __init__(self, max_wait: float) -> None:
+        self.max_wait = max_wait
         self.calls: dict[int, Arrival] = {}
-        self.time = 0.0
-        self.since = 0.0
+        self.virtual_time = 0.0
+        self.busy_since = 0.0
         self.newest_first = False
 
     def begin(self, now: float) -> None:
         """Note that the first call after a pause waits."""
-        self.since = now
+        self.busy_since = now
         self.newest_first = False
 
     def overloaded(self, now: float) -> bool:
@@ -139,8 +139,8 @@
         if not self.calls:
             return False
         oldest = next(iter(self.calls.values()))
-        standing = now - self.since > self.wait / 2
-        if standing and now - oldest.arrived > self.wait / 4:
+        persistent = now - self.busy_since > self.max_wait / 2
+        if persistent and now - oldest.arrived > self.max_wait / 4:
             self.newest_first = True
         return self.newest_first
 
@@ -155,57 +155,59 @@
         self.durations = durations
         self.shares = shares
         self.waiting = {
-            Priority.URGENT: Waiting(settings.urgent_wait),
-            Priority.ORDINARY: Waiting(settings.ordinary_wait),
-            Priority.PATIENT: Waiting(settings.patient_wait),
+            Priority.URGENT: WaitingCalls(settings.urgent_wait),
+            Priority.ORDINARY: WaitingCalls(settings.ordinary_wait),
+            Priority.PATIENT: WaitingCalls(settings.patient_wait),
         }
 
     def __len__(self) -> int:
         """Return how many wait."""
         return sum(len(each.calls) for each in self.waiting.values())
 
-    def push(self, call: Arrival, rate: float, now: float) -> list[Given]:
+    def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
         """Let a call wait if it can be answered in time."""
-        given = self.expire(now)
+        refusals = self.expire(now)
         waiting = self.waiting[call.priority]
         if not waiting.calls:
             # The priority starts at the present and has saved nothing up.
             waiting.begin(now)
-            waiting.time = max(waiting.time, self.present())
-        reason = self.refusal(call, waiting, rate, now)
+            waiting.virtual_time = max(waiting.virtual_time, self.least_virtual_time())
+        reason = self.refusal_reason(call, waiting, rate, now)
         if reason:
-            return [*given, (call, reason)]
+            return [*refusals, (call, reason)]
         waiting.calls[call.call] = call
         if len(waiting.calls) > self.settings.queue_calls:
-            given.append(self.evict(waiting, now))
-        return given
+            refusals.append(self.evict(waiting, now))
+        return refusals
 
-    def present(self) -> float:
+    def least_virtual_time(self) -> float:
         """Return the least virtual time of a priority that waits."""
-        times = [each.time for each in self.waiting.values() if each.calls]
+        times = [each.virtual_time for each in self.waiting.values() if each.calls]
         return min(times, default=0.0)
 
-    def refusal(
-        self, call: Arrival, waiting: Waiting, rate: float, now: float
+    def refusal_reason(
+        self, call: Arrival, waiting: WaitingCalls, rate: float, now: float
     ) -> RefusalReason | None:
         """Return why a call should not even wait."""
-        wait = 0.0 if waiting.overloaded(now) else self.ahead(call, waiting) / rate
-        if now + wait + self.durations.likely(call.kind) > call.deadline:
-            self.durations.doubt(call.kind)
+        wait = (
+            0.0 if waiting.overloaded(now) else self.calls_ahead(call, waiting) / rate
+        )
+        if now + wait + self.durations.likely_answer_time(call.kind) > call.deadline:
+            self.durations.decay_answer_time(call.kind)
             return RefusalReason.DEADLINE_TOO_CLOSE
-        if wait > waiting.wait:
+        if wait > waiting.max_wait:
             return RefusalReason.WAIT_TOO_LONG
         return None
 
-    def ahead(self, call: Arrival, waiting: Waiting) -> int:
+    def calls_ahead(self, call: Arrival, waiting: WaitingCalls) -> int:
         """Count the waiting calls that would be served before it."""
-        tag = self.shares.tag(call)
+        start_tag = self.shares.start_tag(call)
         return sum(
-            each.caller == call.caller or self.shares.tag(each) < tag
+            each.caller == call.caller or self.shares.start_tag(each) < start_tag
             for each in waiting.calls.values()
         )
 
-    def evict(self, waiting: Waiting, now: float) -> Given:
+    def evict(self, waiting: WaitingCalls, now: float) -> Refusal:
         """Give up on a call of whoever has most waiting."""
         calls = list(waiting.calls.values())
         callers = Counter(each.caller for each in calls)
@@ -218,30 +220,32 @@
         # The newest would wait longest, unless the newest go first.
         victim = group[0] if waiting.overloaded(now) else group[-1]
         del waiting.calls[victim.call]
-        full = most * 2 <= len(calls)
-        reason = RefusalReason.QUEUE_FULL if full else RefusalReason.OVER_SHARE
+        evenly_spread = most * 2 <= len(calls)
+        reason = RefusalReason.QUEUE_FULL if evenly_spread else RefusalReason.OVER_SHARE
         return victim, reason
 
     def pop(self, allow: Callable[[Arrival], bool], now: float) -> Arrival | None:
         """Take out the next call among those allowed."""
         ready = [item for item in self.waiting.items() if item[1].calls]
-        for priority, waiting in sorted(ready, key=lambda item: item[1].time):
-            call = self.first(waiting, allow, now)
+        for priority, waiting in sorted(ready, key=lambda item: item[1].virtual_time):
+            call = self.next_call(waiting, allow, now)
             if call is None:
                 continue
             del waiting.calls[call.call]
-            waiting.time += self.durations.expected(call.kind) / SHARES[priority]
+            waiting.virtual_time += (
+                self.durations.expected(call.kind) / PRIORITY_WEIGHTS[priority]
+            )
             return call
         return None
 
-    def first(
-        self, waiting: Waiting, allow: Callable[[Arrival], bool], now: float
+    def next_call(
+        self, waiting: WaitingCalls, allow: Callable[[Arrival], bool], now: float
     ) -> Arrival | None:
         """Return the call whose caller and key have had least."""
         sign = -1 if waiting.overloaded(now) else 1
         best, best_rank = None, (float("inf"), 0)
         for place, call in enumerate(waiting.calls.values()):
-            rank = (self.shares.tag(call), sign * place)
+            rank = (self.shares.start_tag(call), sign * place)
             if rank < best_rank and allow(call):
                 best, best_rank = call, rank
         return best
@@ -253,28 +257,28 @@
                 return True
         return False
 
-    def end(self, call: Arrival) -> float:
+    def wait_until(self, call: Arrival) -> float:
         """Return until when a call may wait."""
         # The refusal must reach the entry before its own deadline, else the
         # caller hears "outcome unknown" of a call that was never run.
-        needed = max(self.durations.answer_time(call.kind), TELLING_SECONDS)
+        needed = max(self.durations.answer_time(call.kind), REFUSAL_DELIVERY_SECONDS)
         latest = call.deadline - needed
-        return min(latest, call.arrived + self.waiting[call.priority].wait)
+        return min(latest, call.arrived + self.waiting[call.priority].max_wait)
 
-    def expire(self, now: float) -> list[Given]:
+    def expire(self, now: float) -> list[Refusal]:
         """Take out the calls that waited too long or are too late to answer."""
-        given = []
+        refusals = []
         for waiting in self.waiting.values():
             for call in list(waiting.calls.values()):
-                if self.end(call) > now:
+                if self.wait_until(call) > now:
                     continue
                 del waiting.calls[call.call]
-                waited = now - call.arrived >= waiting.wait
+                waited = now - call.arrived >= waiting.max_wait
                 reason = (
                     RefusalReason.WAITED_TOO_LONG if waited else RefusalReason.EXPIRED
                 )
-                given.append((call, reason))
-        return given
+                refusals.append((call, reason))
+        return refusals
 
 
 def make_queue(
--- a/sequoiaspoke/core/admission/shares.py
+++ b/sequoiaspoke/core/admission/shares.py
@@ -16,53 +16,53 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.admission.model import Arrival
 
-REMEMBERED = 1024  # callers or keys; those behind the present time are the same
+MAX_REMEMBERED = 1024  # callers or keys; those behind the present time are the same
 
 
-class Ledger:
+class VirtualTimes:
     """Virtual times of callers, or of keys."""
 
     def __init__(self) -> None:
         self.times: dict[str, float] = {}
 
-    def time(self, name: str, present: float) -> float:
+    def time(self, name: str, virtual_time: float) -> float:
         """Return where a caller or key stands."""
-        return max(present, self.times.get(name, present))
+        return max(virtual_time, self.times.get(name, virtual_time))
 
-    def charge(self, name: str, cost: float, present: float) -> None:
+    def charge(self, name: str, cost: float, virtual_time: float) -> None:
         """Advance a caller or key by the slot time of a call."""
-        self.times[name] = self.time(name, present) + cost
-        if len(self.times) <= REMEMBERED:
+        self.times[name] = self.time(name, virtual_time) + cost
+        if len(self.times) <= MAX_REMEMBERED:
             return
-        ahead = {each: time for each, time in self.times.items() if time > present}
+        ahead = {each: time for each, time in self.times.items() if time > virtual_time}
         # Even ahead of the present, the memory of many callers is bounded; the
         # ones least ahead lose least by being forgotten.
         kept = sorted(ahead.items(), key=lambda item: -item[1])
-        self.times = dict(kept[: REMEMBERED // 2])
+        self.times = dict(kept[: MAX_REMEMBERED // 2])
 
 
 class Shares:
     """Virtual times by which waiting calls are ordered."""
 
     def __init__(self) -> None:
-        self.present = 0.0
-        self.callers = Ledger()
-        self.keys = Ledger()
+        self.virtual_time = 0.0
+        self.callers = VirtualTimes()
+        self.keys = VirtualTimes()
 
-    def tag(self, call: Arrival) -> float:
+    def start_tag(self, call: Arrival) -> float:
         """Return the virtual time at which a call would start."""
-        tag = self.callers.time(call.caller, self.present)
+        start_tag = self.callers.time(call.caller, self.virtual_time)
         if call.key:
-            tag = max(tag, self.keys.time(call.key, self.present))
-        return tag
+            start_tag = max(start_tag, self.keys.time(call.key, self.virtual_time))
+        return start_tag
 
     def start(self, call: Arrival, cost: float) -> None:
         """Charge a call that gets a slot with its expected slot time."""
-        self.present = max(self.present, self.tag(call))
+        self.virtual_time = max(self.virtual_time, self.start_tag(call))
         self.charge(call, cost)
 
     def charge(self, call: Arrival, cost: float) -> None:
         """Charge, or with a negative cost give back, slot time."""
-        self.callers.charge(call.caller, cost, self.present)
+        self.callers.charge(call.caller, cost, self.virtual_time)
         if call.key:
-            self.keys.charge(call.key, cost, self.present)
+            self.keys.charge(call.key, cost, self.virtual_time)
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -81,7 +81,7 @@
     def room(self) -> Room:
         """Return what admission says of the slots."""
         admission = self.home.gate.admission
-        free = admission.free()
+        free = admission.free_slots()
         return Room(admission.limit.current(), free, len(admission.queue))
 
     def take_over(self) -> None:
--- a/sequoiaspoke/node/home.py
+++ b/sequoiaspoke/node/home.py
@@ -168,7 +168,7 @@
         drains = answer.headers.get(names.REASON) == DrainingError.code
         # Under a grant it is another VM's upstream that drains, not this one's.
         if drains and pool is None:
-            self.gate.admission.health.said_draining(loop.time())
+            self.gate.admission.health.upstream_draining(loop.time())
         await discard(answer)
         error: CallError = UpstreamUnsureError(f"{call.target} gave the call up")
         if told == Ran.NOT_RUN.value:
--- a/sequoiaspoke/tests/test_admission.py
+++ b/sequoiaspoke/tests/test_admission.py
@@ -120,7 +120,7 @@
         states.append(health.state(10.0))
         health.answered(11.0)
         states.append(health.state(11.0))
-        health.said_draining(20.0)
+        health.upstream_draining(20.0)
         states.append(health.state(20.0))
         states.append(health.state(20.0 + SETTINGS.drain_memory))
         self.assertEqual(
@@ -319,14 +319,14 @@
     def drive(self, limit, latency, rounds=60, now=0.0):
         for _ in range(rounds):
             for _ in range(limit.current()):
-                beside = limit.current()
-                now += latency(beside) / beside
-                limit.answered("k", latency(beside), beside, now)
+                concurrency = limit.current()
+                now += latency(concurrency) / concurrency
+                limit.answered("k", latency(concurrency), concurrency, now)
         return now
 
     def test_a_target_that_is_not_crowded_gets_its_slots(self):
         limit = AdaptiveLimit(SETTINGS, 10)
-        self.drive(limit, lambda beside: 0.05)
+        self.drive(limit, lambda concurrency: 0.05)
         self.assertEqual(10, limit.current())
 
     def test_a_crowded_target_runs_fewer(self):
@@ -335,7 +335,7 @@
         Given ten, it would answer each so late that all their callers are gone.
         """
         limit = AdaptiveLimit(SETTINGS, 10)
-        self.drive(limit, lambda beside: 0.05 * max(1, beside / 4) ** 2)
+        self.drive(limit, lambda concurrency: 0.05 * max(1, concurrency / 4) ** 2)
         self.assertTrue(3 <= limit.value <= 7, limit.value)
 
     def test_a_slow_target_keeps_its_slots(self):
@@ -344,15 +344,15 @@
         Lowering the limit would not speed it up, only serve fewer callers.
         """
         limit = AdaptiveLimit(SETTINGS, 10)
-        now = self.drive(limit, lambda beside: 0.05)
-        self.drive(limit, lambda beside: 0.5, now=now)
+        now = self.drive(limit, lambda concurrency: 0.05)
+        self.drive(limit, lambda concurrency: 0.5, now=now)
         self.assertTrue(limit.value >= 9, limit.value)
 
     def test_shedding_lowers_the_limit_and_an_outage_is_soon_forgotten(self):
         limit = AdaptiveLimit(SETTINGS, 10)
-        now = self.drive(limit, lambda beside: 0.05)
+        now = self.drive(limit, lambda concurrency: 0.05)
         for _ in range(40):
             limit.shed(limit.current(), now)
         self.assertEqual(2, limit.current())
-        self.drive(limit, lambda beside: 0.05, rounds=6, now=now + 1.0)
+        self.drive(limit, lambda concurrency: 0.05, rounds=6, now=now + 1.0)
         self.assertTrue(limit.value >= 9, limit.value)
