--- a/sequoiaspoke/core/membership/pause.py
+++ b/sequoiaspoke/core/membership/pause.py
@@ -13,15 +13,15 @@
 
     def __init__(self, threshold: float) -> None:
         self.threshold = threshold
-        self.last: float | None = None
+        self.last_observed: float | None = None
 
     def observe(self, now: float) -> float:
         """Return the length of the pause that just ended, or 0."""
         gap = self.gap(now)
-        self.last = now
+        self.last_observed = now
         return gap
 
     def gap(self, now: float) -> float:
         """Return the length of a pause that nobody has taken note of yet."""
-        gap = 0.0 if self.last is None else now - self.last
+        gap = 0.0 if self.last_observed is None else now - self.last_observed
         return gap if gap > self.threshold else 0.0
--- a/sequoiaspoke/core/membership/vmlist.py
+++ b/sequoiaspoke/core/membership/vmlist.py
@@ -17,7 +17,7 @@
 
 # Lists that are remembered to tell a peer only what changed since its own.
 HISTORY_LIMIT = 8
-LIST_LIMIT = 8_000_000  # bytes once inflated
+MAX_LIST_BYTES = 8_000_000  # bytes once inflated
 
 
 def rank_key(*words: str) -> bytes:
@@ -34,7 +34,7 @@
         self.revision = 0
         self.vms: dict[str, Vm] = {}
         self.history: OrderedDict[int, dict[str, Vm]] = OrderedDict()
-        self.order: list[str] = [name]
+        self.zone_order: list[str] = [name]
 
     def offer(self, vms: VmList) -> bool:
         """Take a list if it is newer than the one held."""
@@ -50,7 +50,7 @@
         self.history[self.revision] = self.vms
         while len(self.history) > HISTORY_LIMIT:
             self.history.popitem(last=False)
-        self.order = self._zone_order()
+        self.zone_order = self._zone_order()
         return True
 
     def _zone_order(self) -> list[str]:
@@ -66,11 +66,11 @@
 
     def rank(self) -> int:
         """Return this node's place in the watch order of its zone."""
-        return self.order.index(self.name)
+        return self.zone_order.index(self.name)
 
-    def seniors(self) -> list[str]:
+    def predecessors(self) -> list[str]:
         """Return the nodes before this one in the watch order, nearest first."""
-        return self.order[: self.rank()][::-1]
+        return self.zone_order[: self.rank()][::-1]
 
     def others(self, own_zone: bool) -> list[Vm]:
         """Return the other VMs of the own zone, or those of all other zones."""
@@ -117,7 +117,7 @@
 def _unpack(packed: bytes) -> tuple[Vm, ...]:
     inflater = zlib.decompressobj()
     try:
-        content = inflater.decompress(packed, LIST_LIMIT)
+        content = inflater.decompress(packed, MAX_LIST_BYTES)
     except zlib.error as error:
         raise DocumentError(f"VM list does not inflate: {error}") from error
     if not inflater.eof:
--- a/sequoiaspoke/core/spread/peers.py
+++ b/sequoiaspoke/core/spread/peers.py
@@ -69,7 +69,7 @@
         live: list[Link] = []
         wanted = []
         untried = 0
-        for name in self.state.vms.seniors():
+        for name in self.state.vms.predecessors():
             if len(live) + untried >= self.state.spread.watchers:
                 break
             link = self.links.find(name)
