--- a/sequoiaspoke/core/routing/balancer.py
+++ b/sequoiaspoke/core/routing/balancer.py
@@ -52,7 +52,7 @@
         self.load = LoadView(settings)
         self.ejector = Ejector(settings)
         self.slow_start = SlowStart(settings)
-        self.known: dict[str, Sequence[Endpoint]] = {}
+        self.known_endpoints: dict[str, Sequence[Endpoint]] = {}
         self.leaving: frozenset[str] = frozenset()
         self.chosen: Counter[ChoiceReason] = Counter()
 
@@ -76,21 +76,21 @@
         NoTargetError
             Every target is excluded or leaving.
         """
-        self.notice(service, endpoints, now)
-        open_ = [each for each in endpoints if not self.is_leaving(each, now)]
-        probe = self.probe(open_, context, exclude, now)
+        self.update_endpoints(service, endpoints, now)
+        accepting = [each for each in endpoints if not self.is_leaving(each, now)]
+        probe = self.probe(accepting, context, exclude, now)
         if probe:
-            return self.count(probe)
-        names = [each.target for each in open_]
-        usable = self.ejector.usable(names, self.load.down(open_, now))
-        left = [each for each in open_ if each.target not in exclude]
-        best = [each for each in left if each.target in usable] or left
-        if not best:
+            return self.count_choice(probe)
+        names = [each.target for each in accepting]
+        usable = self.ejector.usable(names, self.load.down(accepting, now))
+        candidates = [each for each in accepting if each.target not in exclude]
+        preferred = [each for each in candidates if each.target in usable] or candidates
+        if not preferred:
             raise NoTargetError(
                 f"service={service} targets={len(endpoints)} excluded={len(exclude)}",
                 NO_TARGET_RETRY_AFTER,
             )
-        return self.count(self.pick(service, best, context, now))
+        return self.count_choice(self.pick(service, preferred, context, now))
 
     @abstractmethod
     def pick(
@@ -127,17 +127,19 @@
             return True
         return self.load.state(endpoint.target, now) is UpstreamState.LEAVING
 
-    def count(self, choice: Choice) -> Choice:
+    def count_choice(self, choice: Choice) -> Choice:
         """Count a choice by its reason."""
         self.chosen[choice.reason] += 1
         return choice
 
-    def notice(self, service: str, endpoints: Sequence[Endpoint], now: float) -> None:
+    def update_endpoints(
+        self, service: str, endpoints: Sequence[Endpoint], now: float
+    ) -> None:
         """Warm up targets that joined a service already in use here."""
-        known = self.known.get(service)
+        known = self.known_endpoints.get(service)
         if known is endpoints:
             return
-        self.known[service] = endpoints
+        self.known_endpoints[service] = endpoints
         if known is None:
             # This node is new, not the targets: it knows nothing of any.
             return
@@ -150,8 +152,8 @@
 
     def retain(self, services: frozenset[str]) -> None:
         """Forget the services no longer in force, and their targets."""
-        for service in self.known.keys() - services:
-            for each in self.known.pop(service):
+        for service in self.known_endpoints.keys() - services:
+            for each in self.known_endpoints.pop(service):
                 self.forget(each.target)
 
     def forget(self, target: str) -> None:
@@ -166,7 +168,7 @@
 
     def started(self, target: str, now: float) -> None:  # noqa: ARG002
         """Note that an attempt goes out to a target."""
-        self.load.of(target).in_flight += 1
+        self.load.target_load(target).in_flight += 1
 
     def finished(
         self,
@@ -176,7 +178,7 @@
         now: float,
     ) -> None:
         """Note how an attempt ended; once for each `started`."""
-        load = self.load.of(target)
+        load = self.load.target_load(target)
         load.in_flight = max(0, load.in_flight - 1)
         if outcome in FAILURES:
             self.ejector.failed(target, now)
@@ -184,7 +186,7 @@
         if outcome is Outcome.REFUSED:
             load.refused_until = now + self.settings.refusal_memory
         if outcome is Outcome.CANCELLED:
-            self.ejector.undecided(target)
+            self.ejector.inconclusive(target)
             return
         if outcome is Outcome.ANSWERED:
             self.load.answered(target, latency, now)
--- a/sequoiaspoke/core/routing/deadline.py
+++ b/sequoiaspoke/core/routing/deadline.py
@@ -47,7 +47,7 @@
         """Return the milliseconds that the next node gets."""
         return max(0, math.floor((self.deadline - now - margin) * 1000))
 
-    def attempted(self, attempt: int) -> Progress:
+    def for_attempt(self, attempt: int) -> Progress:
         """Return the progress to send along with an attempt of this node."""
         return Progress(self.deadline, max(self.attempt, attempt), self.depth)
 
--- a/sequoiaspoke/core/routing/ejection.py
+++ b/sequoiaspoke/core/routing/ejection.py
@@ -25,18 +25,18 @@
 
     from sequoiaspoke.core.routing.settings import RoutingSettings
 
-MOST_DOUBLINGS = 10
-MOST_DOWN = 0.5  # part of a service's targets that is believed to be down
+MAX_DOUBLINGS = 10
+MAX_DOWN_SHARE = 0.5  # part of a service's targets that is believed to be down
 
 
 @dataclass
-class Record:
+class FailureRecord:
     """What is remembered of a target's failures."""
 
     failures: int = 0
     ejections: int = 0
     ejected: bool = False
-    until: float = 0.0
+    ejected_until: float = 0.0
     probing: bool = False
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, FailureRecord] = {}
         self.ejections = 0
         self.probes = 0
 
@@ -63,7 +63,7 @@
         if record is None:
             return False
         if record.ejected:
-            self.records[target] = Record(ejections=record.ejections)
+            self.records[target] = FailureRecord(ejections=record.ejections)
             return True
         record.failures = 0
         record.ejections = max(0, record.ejections - 1)
@@ -71,26 +71,26 @@
 
     def failed(self, target: str, now: float) -> None:
         """Note a call that got no answer."""
-        record = self.records.setdefault(target, Record())
+        record = self.records.setdefault(target, FailureRecord())
         record.failures += 1
         if record.probing:
             self.eject(record, now)
         elif not record.ejected and record.failures >= self.settings.eject_failures:
             self.eject(record, now)
 
-    def undecided(self, target: str) -> None:
+    def inconclusive(self, target: str) -> None:
         """Note a call whose end says nothing of the target."""
         record = self.records.get(target)
         if record:
             record.probing = False
 
-    def eject(self, record: Record, now: float) -> None:
+    def eject(self, record: FailureRecord, now: float) -> None:
         """Take a target out of use for the next ejection time."""
-        doublings = min(record.ejections, MOST_DOUBLINGS)
+        doublings = min(record.ejections, MAX_DOUBLINGS)
         seconds = self.settings.eject_time * 2**doublings
         record.ejected = True
         record.probing = False
-        record.until = now + min(seconds, self.settings.eject_time_most)
+        record.ejected_until = now + min(seconds, self.settings.eject_time_most)
         record.ejections += 1
         self.ejections += 1
 
@@ -108,7 +108,7 @@
         record = self.records.get(target)
         if record is None or not record.ejected or record.probing:
             return False
-        return now >= record.until
+        return now >= record.ejected_until
 
     def probe(self, target: str) -> None:
         """Note that a recovery probe was sent."""
@@ -125,21 +125,21 @@
             it is more likely a fault of the checks than of the targets, and
             only failures of calls decide.
         """
-        if len(down) > MOST_DOWN * len(targets):
+        if len(down) > MAX_DOWN_SHARE * len(targets):
             down = frozenset()
         usable = {
             name for name in targets if name not in down and not self.is_ejected(name)
         }
-        least = max(1, math.ceil(self.settings.eject_floor * len(targets)))
-        if len(usable) >= least:
+        minimum = max(1, math.ceil(self.settings.eject_floor * len(targets)))
+        if len(usable) >= minimum:
             return frozenset(usable)
-        rest = sorted(set(targets) - usable, key=self.badness)
-        return frozenset(usable | set(rest[: least - len(usable)]))
+        rest = sorted(set(targets) - usable, key=self.ejection_rank)
+        return frozenset(usable | set(rest[: minimum - len(usable)]))
 
-    def badness(self, target: str) -> tuple[int, float, str]:
+    def ejection_rank(self, target: str) -> tuple[int, float, str]:
         """Return how far out of use a target is, for putting some back."""
-        record = self.records.get(target, Record())
-        return (record.ejections, record.until, target)
+        record = self.records.get(target, FailureRecord())
+        return (record.ejections, record.ejected_until, target)
 
     def forget(self, target: str) -> None:
         """Drop a target that is gone."""
--- a/sequoiaspoke/core/routing/grants_entry.py
+++ b/sequoiaspoke/core/routing/grants_entry.py
@@ -22,21 +22,21 @@
 
 RATE_SECONDS = 1.0  # over which steady use is counted
 DIRECT, HOME = "direct", "home"
-RENEW_AT = 0.5  # part of the lease after which it is renewed
+RENEW_FRACTION = 0.5  # part of the lease after which it is renewed
 
 
 @dataclass
-class Holding:
+class HeldGrant:
     """What an entry holds, or is about to hold, at one target."""
 
     grant: int = 0
     connections: int = 0
-    until: float = float("-inf")
+    valid_until: float = float("-inf")
     renew_at: float = float("-inf")
     in_use: int = 0
     used: int = 0
     asked_at: float = float("-inf")
-    asking: bool = False
+    awaiting_answer: bool = False
     counted_from: float = float("-inf")
     calls: int = 0
 
@@ -62,84 +62,86 @@
     def __init__(self, settings: RoutingSettings, name: str) -> None:
         self.settings = settings
         self.name = name
-        self.holdings: dict[str, Holding] = {}
+        self.held_grants: dict[str, HeldGrant] = {}
         self.ways: Counter[str] = Counter()
 
-    def of(self, target: str) -> Holding:
+    def held_at(self, target: str) -> HeldGrant:
         """Return what is held at a target."""
-        return self.holdings.setdefault(target, Holding())
+        return self.held_grants.setdefault(target, HeldGrant())
 
     def take(self, target: str, deadline: float, now: float) -> int:
         """Return the grant under which an idempotent call goes, or 0."""
-        holding = self.of(target)
-        self.count(holding, now)
-        free = holding.in_use < holding.connections
+        held = self.held_at(target)
+        self.count(held, now)
+        free = held.in_use < held.connections
         short = deadline - now <= self.settings.grant_call
-        if not (free and short and now < holding.until):
+        if not (free and short and now < held.valid_until):
             self.ways[HOME] += 1
             return 0
         self.ways[DIRECT] += 1
-        holding.in_use += 1
-        holding.used += 1
-        return holding.grant
+        held.in_use += 1
+        held.used += 1
+        return held.grant
 
-    def count(self, holding: Holding, now: float) -> None:
+    def count(self, held: HeldGrant, now: float) -> None:
         """Count a call towards steady use."""
-        if now - holding.counted_from > RATE_SECONDS:
-            holding.counted_from = now
-            holding.calls = 0
-        holding.calls += 1
+        if now - held.counted_from > RATE_SECONDS:
+            held.counted_from = now
+            held.calls = 0
+        held.calls += 1
 
     def done(self, target: str, grant: int) -> Question | None:
         """Note the end of a direct call; the home may wait to hear of it."""
-        holding = self.of(target)
-        if holding.grant != grant:
+        held = self.held_at(target)
+        if held.grant != grant:
             return Question(target, Returned(self.name, grant))
-        holding.in_use -= 1
-        if holding.connections == 0:
-            return self.give_back(target, holding)
+        held.in_use -= 1
+        if held.connections == 0:
+            return self.give_back(target, held)
         return None
 
-    def give_back(self, target: str, holding: Holding) -> Question:
+    def give_back(self, target: str, held: HeldGrant) -> Question:
         """Return what is no longer used."""
-        message = Returned(self.name, holding.grant, holding.in_use)
-        if holding.in_use == 0:
-            holding.grant = 0
+        message = Returned(self.name, held.grant, held.in_use)
+        if held.in_use == 0:
+            held.grant = 0
         return Question(target, message)
 
-    def due(self, now: float) -> list[Question]:
+    def due_questions(self, now: float) -> list[Question]:
         """Return what to ask the homes now."""
         questions = []
-        for target, holding in self.holdings.items():
-            question = self.question(target, holding, now)
+        for target, held in self.held_grants.items():
+            question = self.next_question(target, held, now)
             if question:
                 questions.append(question)
         return questions
 
-    def question(self, target: str, holding: Holding, now: float) -> Question | None:
+    def next_question(
+        self, target: str, held: HeldGrant, now: float
+    ) -> Question | None:
         """Return what to ask one home now."""
-        if holding.asking:
+        if held.awaiting_answer:
             return None
-        if not holding.grant:
-            steady = holding.calls >= self.settings.grant_rate * RATE_SECONDS
-            recent = now - holding.counted_from <= 2 * RATE_SECONDS
-            waited = now - holding.asked_at >= self.settings.grant_pause
+        if not held.grant:
+            steady = held.calls >= self.settings.grant_rate * RATE_SECONDS
+            recent = now - held.counted_from <= 2 * RATE_SECONDS
+            waited = now - held.asked_at >= self.settings.grant_pause
             if not (steady and recent and waited):
                 return None
-            return self.ask(target, holding, now)
-        if holding.connections == 0 or now < holding.renew_at:
+            return self.ask(target, held, now)
+        if held.connections == 0 or now < held.renew_at:
             return None
-        if holding.used == 0:
-            holding.connections = 0
-            return self.give_back(target, holding)
-        return self.ask(target, holding, now)
+        if held.used == 0:
+            held.connections = 0
+            return self.give_back(target, held)
+        return self.ask(target, held, now)
 
-    def ask(self, target: str, holding: Holding, now: float) -> Question:
+    def ask(self, target: str, held: HeldGrant, now: float) -> Question:
         """Ask for a grant, or for more time on it."""
-        message = Ask(self.name, holding.grant, holding.in_use, holding.used)
-        holding.asking = True
-        holding.asked_at = now
-        holding.used = 0
+        message = Ask(self.name, held.grant, held.in_use, held.used)
+        held.awaiting_answer = True
+        held.asked_at = now
+        held.used = 0
         return Question(target, message, now)
 
     def answered(self, question: Question, answer: GrantAnswer) -> Question | None:
@@ -149,44 +151,44 @@
         from a later question its lease would outlast the home's.
         """
         target = question.target
-        holding = self.of(target)
-        if not holding.asking or holding.asked_at != question.asked_at:
-            return self.unwanted(target, answer)
-        holding.asking = False
-        if isinstance(answer, Granted) and holding.grant in (0, answer.grant):
-            holding.grant = answer.grant
-            holding.connections = answer.connections
-            holding.until = holding.asked_at + answer.lease
-            holding.renew_at = holding.asked_at + RENEW_AT * answer.lease
+        held = self.held_at(target)
+        if not held.awaiting_answer or held.asked_at != question.asked_at:
+            return self.return_unused(target, answer)
+        held.awaiting_answer = False
+        if isinstance(answer, Granted) and held.grant in (0, answer.grant):
+            held.grant = answer.grant
+            held.connections = answer.connections
+            held.valid_until = held.asked_at + answer.lease
+            held.renew_at = held.asked_at + RENEW_FRACTION * answer.lease
             return None
         if isinstance(answer, Granted):
-            return self.unwanted(target, answer)
+            return self.return_unused(target, answer)
         return self.recalled(target)
 
-    def unwanted(self, target: str, answer: GrantAnswer) -> Question | None:
+    def return_unused(self, target: str, answer: GrantAnswer) -> Question | None:
         """Give back a grant that is not used, unless it is the one held."""
         if not isinstance(answer, Granted):
             return None
-        if answer.grant == self.of(target).grant:
+        if answer.grant == self.held_at(target).grant:
             return None
         return Question(target, Returned(self.name, answer.grant))
 
     def failed(self, target: str) -> Question | None:
         """Note that a question got no answer; the grant is not prolonged."""
-        self.of(target).asking = False
+        self.held_at(target).awaiting_answer = False
         return self.recalled(target)
 
     def recalled(self, target: str) -> Question | None:
         """Begin no further direct call at a target."""
-        holding = self.of(target)
-        holding.connections = 0
-        holding.until = float("-inf")
-        if not holding.grant:
+        held = self.held_at(target)
+        held.connections = 0
+        held.valid_until = float("-inf")
+        if not held.grant:
             return None
-        return self.give_back(target, holding)
+        return self.give_back(target, held)
 
     def forget(self, target: str) -> None:
         """Drop a target that is gone and has no direct call in flight."""
-        holding = self.holdings.get(target)
-        if holding and not holding.in_use:
-            del self.holdings[target]
+        held = self.held_grants.get(target)
+        if held and not held.in_use:
+            del self.held_grants[target]
--- a/sequoiaspoke/core/routing/grants_home.py
+++ b/sequoiaspoke/core/routing/grants_home.py
@@ -36,16 +36,16 @@
 
 
 @dataclass
-class Lent:
+class GrantedSlots:
     """Slots that an entry holds."""
 
     entry: str
     slots: int
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True)
-class Room:
+class Capacity:
     """What the home's admission says of its slots.
 
     Attributes
@@ -77,7 +77,7 @@
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
         self.numbers = count(1)
-        self.lent: dict[int, Lent] = {}
+        self.granted: dict[int, GrantedSlots] = {}
         self.closed = False
         self.paused_until = float("-inf")
         self.denied: Counter[DenyReason] = Counter()
@@ -86,48 +86,52 @@
     @property
     def reserved(self) -> int:
         """Return the slots that admission must count as taken."""
-        return sum(each.slots for each in self.lent.values())
+        return sum(each.slots for each in self.granted.values())
 
-    def ask(self, ask: Ask, room: Room, now: float) -> GrantAnswer:
+    def ask(self, ask: Ask, capacity: Capacity, now: float) -> GrantAnswer:
         """Answer an entry's question."""
-        reason = self.refusal(room, now)
+        reason = self.denial_reason(capacity, now)
         if reason is DenyReason.CONTENTION:
             self.pause(now)
         if ask.grant:
             return self.renew(ask, reason, now)
-        slots = min(self.settings.grant_slots, room.free, self.lendable(room))
+        slots = min(
+            self.settings.grant_slots, capacity.free, self.grantable_slots(capacity)
+        )
         if reason is None and slots < 1:
             reason = DenyReason.SHARE
         if reason:
             return self.deny(reason)
         number = next(self.numbers)
-        self.lent[number] = Lent(ask.entry, slots, now + self.settings.grant_lease)
+        self.granted[number] = GrantedSlots(
+            ask.entry, slots, now + self.settings.grant_lease
+        )
         return Granted(number, slots, self.settings.grant_lease)
 
-    def refusal(self, room: Room, now: float) -> DenyReason | None:
+    def denial_reason(self, capacity: Capacity, now: float) -> DenyReason | None:
         """Return why nothing at all is lent now."""
         if self.closed:
             return DenyReason.DRAINING
-        if room.waiting or now < self.paused_until:
+        if capacity.waiting or now < self.paused_until:
             return DenyReason.CONTENTION
         return None
 
     def renew(self, ask: Ask, reason: DenyReason | None, now: float) -> GrantAnswer:
         """Prolong a grant, or take it back."""
-        lent = self.lent.get(ask.grant)
-        if lent is None or lent.entry != ask.entry:
+        granted = self.granted.get(ask.grant)
+        if granted is None or granted.entry != ask.entry:
             return self.deny(DenyReason.UNKNOWN)
         if reason:
             # The slots stay counted until the entry tells what it still uses:
             # since it asked, it may have begun more calls.
             self.recalls += 1
             return self.deny(reason)
-        lent.until = now + self.settings.grant_lease
-        return Granted(ask.grant, lent.slots, self.settings.grant_lease)
+        granted.expires_at = now + self.settings.grant_lease
+        return Granted(ask.grant, granted.slots, self.settings.grant_lease)
 
-    def lendable(self, room: Room) -> int:
+    def grantable_slots(self, capacity: Capacity) -> int:
         """Return how many more slots may be lent."""
-        return int(self.settings.grant_share * room.limit) - self.reserved
+        return int(self.settings.grant_share * capacity.limit) - self.reserved
 
     def deny(self, reason: DenyReason) -> Denied:
         """Count and return a denial."""
@@ -142,26 +146,26 @@
         """Lend nothing any more, since the target leaves or moves."""
         self.closed = True
 
-    def must_recall(self, room: Room, now: float) -> bool:
+    def must_recall(self, capacity: Capacity, now: float) -> bool:
         """Return whether holders that wait for a renewal must hear at once."""
-        return bool(self.lent) and self.refusal(room, now) is not None
+        return bool(self.granted) and self.denial_reason(capacity, now) is not None
 
     def returned(self, message: Returned) -> None:
         """Take back the slots of a grant, save those still in use."""
-        lent = self.lent.get(message.grant)
-        if lent and lent.entry == message.entry:
+        granted = self.granted.get(message.grant)
+        if granted and granted.entry == message.entry:
             self.shrink(message.grant, message.in_use)
 
     def shrink(self, grant: int, in_use: int) -> None:
         """Keep only the slots in use counted as taken."""
-        lent = self.lent[grant]
-        lent.slots = min(lent.slots, in_use)
-        if lent.slots <= 0:
-            del self.lent[grant]
+        granted = self.granted[grant]
+        granted.slots = min(granted.slots, in_use)
+        if granted.slots <= 0:
+            del self.granted[grant]
 
     def expire(self, now: float) -> None:
         """Take back what entries that are gone hold."""
         longest = self.settings.grant_call
-        for number, lent in list(self.lent.items()):
-            if now > lent.until + longest:
-                del self.lent[number]
+        for number, granted in list(self.granted.items()):
+            if now > granted.expires_at + longest:
+                del self.granted[number]
--- a/sequoiaspoke/core/routing/load.py
+++ b/sequoiaspoke/core/routing/load.py
@@ -29,11 +29,11 @@
     from sequoiaspoke.core.rules.model import Endpoint
 
 
-TRUST = 0.5  # in a report that has just come
+REPORT_WEIGHT = 0.5  # in a report that has just come
 LATENCY_WEIGHT = 0.1  # of the newest answer, at least
 LATENCY_HALF_LIFE = 1.0  # seconds
 LATENCY_MEMORY = 60.0  # seconds for which zones are compared by it
-FASTEST, SLOWEST = 0.5, 4.0  # multiples of the mean latency that count
+MIN_SLOWNESS, MAX_SLOWNESS = 0.5, 4.0  # multiples of the mean latency that count
 
 
 @dataclass
@@ -41,7 +41,7 @@
     """What is known of one target."""
 
     in_flight: int = 0
-    others: float = 0.0
+    other_calls: float = 0.0
     reported_at: float = float("-inf")
     limit: int = 0
     state: UpstreamState = UpstreamState.READY
@@ -57,7 +57,7 @@
         self.settings = settings
         self.targets: dict[str, TargetLoad] = {}
 
-    def of(self, target: str) -> TargetLoad:
+    def target_load(self, target: str) -> TargetLoad:
         """Return what is known of a target."""
         load = self.targets.get(target)
         if load is None:
@@ -66,9 +66,9 @@
 
     def report(self, target: str, report: LoadReport, now: float) -> UpstreamState:
         """Take in a report and return the state known before it."""
-        load = self.of(target)
+        load = self.target_load(target)
         before = self.state(target, now)
-        load.others = max(0.0, report.in_flight + report.queued - load.in_flight)
+        load.other_calls = max(0.0, report.in_flight + report.queued - load.in_flight)
         load.limit = report.limit
         load.state = report.state
         load.reported_at = now
@@ -76,7 +76,7 @@
 
     def state(self, target: str, now: float) -> UpstreamState:
         """Return what a target's node said of it, while that holds."""
-        load = self.of(target)
+        load = self.target_load(target)
         memory = self.settings.state_memory
         if load.state is UpstreamState.LEAVING:
             memory = self.settings.leaving_memory
@@ -86,25 +86,29 @@
 
     def freshness(self, target: str, now: float) -> float:
         """Return how much a report still counts, from 1 down to 0."""
-        age = max(0.0, now - self.of(target).reported_at)
-        return TRUST * 0.5 ** (age / self.settings.report_half_life)
+        age = max(0.0, now - self.target_load(target).reported_at)
+        return REPORT_WEIGHT * 0.5 ** (age / self.settings.report_half_life)
 
-    def others(self, endpoints: Sequence[Endpoint], now: float) -> dict[str, float]:
+    def estimate_other_calls(
+        self, endpoints: Sequence[Endpoint], now: float
+    ) -> dict[str, float]:
         """Estimate the calls of other nodes at each target."""
         fresh = {each.target: self.freshness(each.target, now) for each in endpoints}
         known = sum(fresh.values())
-        told = sum(self.of(name).others * part for name, part in fresh.items())
-        mean = told / known if known > 1e-9 else 0.0
+        reported = sum(
+            self.target_load(name).other_calls * part for name, part in fresh.items()
+        )
+        mean = reported / known if known > 1e-9 else 0.0
         return {
-            name: part * self.of(name).others + (1 - part) * mean
+            name: part * self.target_load(name).other_calls + (1 - part) * mean
             for name, part in fresh.items()
         }
 
     def answered(self, target: str, latency: float, now: float) -> None:
         """Note how long an answered attempt took, queueing included."""
-        load = self.of(target)
-        faded = 1 - 0.5 ** ((now - load.answered_at) / LATENCY_HALF_LIFE)
-        load.latency += max(LATENCY_WEIGHT, faded) * (latency - load.latency)
+        load = self.target_load(target)
+        weight = 1 - 0.5 ** ((now - load.answered_at) / LATENCY_HALF_LIFE)
+        load.latency += max(LATENCY_WEIGHT, weight) * (latency - load.latency)
         load.answered_at = now
 
     def slowness(self, endpoints: Sequence[Endpoint], now: float) -> dict[str, float]:
@@ -113,23 +117,23 @@
         It fades without answers: a target once slow would get no call that
         could show that it no longer is.
         """
-        loads = {each.target: self.of(each.target) for each in endpoints}
+        loads = {each.target: self.target_load(each.target) for each in endpoints}
         known = [load.latency for load in loads.values() if load.latency]
         mean = sum(known) / len(known) if known else 0.0
         slowness = dict.fromkeys(loads, 1.0)
         for name, load in loads.items():
             if now < load.refused_until:
                 # Its few answers may be fast, those it refused got none.
-                slowness[name] = SLOWEST
+                slowness[name] = MAX_SLOWNESS
                 continue
             if not load.latency:
                 continue
-            ratio = min(SLOWEST, max(FASTEST, load.latency / mean))
+            ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, load.latency / mean))
             fresh = 0.5 ** ((now - load.answered_at) / LATENCY_HALF_LIFE)
             slowness[name] += (ratio - 1) * fresh
         return slowness
 
-    def ratio(
+    def latency_ratio(
         self, near: Sequence[Endpoint], far: Sequence[Endpoint], now: float
     ) -> float:
         """Return how many times slower one group of targets answers than another.
@@ -138,7 +142,7 @@
         """
         means = []
         for group in (near, far):
-            loads = [self.of(each.target) for each in group]
+            loads = [self.target_load(each.target) for each in group]
             known = [
                 load.latency
                 for load in loads
@@ -149,15 +153,15 @@
             means.append(sum(known) / len(known))
         return means[0] / max(means[1], 1e-6)
 
-    def use(self, endpoint: Endpoint, others: float, now: float) -> float:
+    def utilisation(self, endpoint: Endpoint, other_calls: float, now: float) -> float:
         """Return the calls at a target as a part of what it runs at once."""
-        load = self.of(endpoint.target)
+        load = self.target_load(endpoint.target)
         slots = max(1, load.limit or endpoint.slots)
         # A long queue told long ago must not outweigh what calls show now.
-        use = (load.in_flight + min(others, slots)) / slots
+        utilisation = (load.in_flight + min(other_calls, slots)) / slots
         if now < load.refused_until:
-            return max(1.0, use)
-        return use
+            return max(1.0, utilisation)
+        return utilisation
 
     def down(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
         """Return the targets whose nodes say that they are down."""
--- a/sequoiaspoke/core/routing/policies.py
+++ b/sequoiaspoke/core/routing/policies.py
@@ -15,7 +15,7 @@
 
 from sequoiaspoke.core.routing.balancer import Balancer
 from sequoiaspoke.core.routing.model import Choice, ChoiceReason
-from sequoiaspoke.core.routing.split import hash_of
+from sequoiaspoke.core.routing.split import stable_hash
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -25,10 +25,11 @@
     from sequoiaspoke.core.routing.settings import RoutingSettings
     from sequoiaspoke.core.rules.model import Endpoint
 
-SCOUTS = 0.01  # part of the calls that leave a healthy zone
-SLOW_START, SLOW_FULL = 1.5, 4.0  # latency as a multiple of the other zones'
-MOST_FOR_SLOWNESS = 0.9  # the rest shows when the zone is well again
-REDRAWS = 8  # tries to draw a target in proportion to its slow start
+MIN_SPILL_SHARE = 0.01  # part of the calls that leave a healthy zone
+# Latency as a multiple of the other zones'.
+SPILL_RATIO_START, SPILL_RATIO_FULL = 1.5, 4.0
+MAX_SPILL_FOR_LATENCY = 0.9  # the rest shows when the zone is well again
+MAX_DRAWS = 8  # tries to draw a target in proportion to its slow start
 
 
 class RoundRobin(Balancer):
@@ -47,8 +48,8 @@
     ) -> Choice:
         """Return the next target in turn."""
         self.turn[service] += 1
-        place = self.turn[service] % len(endpoints)
-        return Choice(endpoints[place], ChoiceReason.IN_TURN)
+        position = self.turn[service] % len(endpoints)
+        return Choice(endpoints[position], ChoiceReason.IN_TURN)
 
 
 class PowerOfTwo(Balancer):
@@ -62,42 +63,48 @@
         now: float,
     ) -> Choice:
         """Return the better of two, or the target of the sticky key."""
-        others = self.load.others(endpoints, now)
-        use = {
-            each.target: self.load.use(each, others[each.target], now)
+        other_calls = self.load.estimate_other_calls(endpoints, now)
+        utilisation = {
+            each.target: self.load.utilisation(each, other_calls[each.target], now)
             for each in endpoints
         }
         if context.key:
-            return self.stick(service, endpoints, context.key, use)
+            return self.pick_sticky(service, endpoints, context.key, utilisation)
         near = [each for each in endpoints if each.zone == self.zone]
         far = [each for each in endpoints if each.zone != self.zone]
         if not near:
-            return Choice(self.better(far, use, now), ChoiceReason.OTHER_ZONE)
-        if far and self.spills(near, far, use, now):
-            return Choice(self.better(far, use, now), ChoiceReason.SPILLED)
-        return Choice(self.better(near, use, now), ChoiceReason.ZONE)
-
-    def spills(
+            return Choice(
+                self.less_used(far, utilisation, now), ChoiceReason.OTHER_ZONE
+            )
+        if far and self.should_spill(near, far, utilisation, now):
+            return Choice(self.less_used(far, utilisation, now), ChoiceReason.SPILLED)
+        return Choice(self.less_used(near, utilisation, now), ChoiceReason.ZONE)
+
+    def should_spill(
         self,
         near: Sequence[Endpoint],
         far: Sequence[Endpoint],
-        use: dict[str, float],
+        utilisation: dict[str, float],
         now: float,
     ) -> bool:
         """Return whether this call leaves the zone."""
-        here = sum(use[each.target] for each in near) / len(near)
-        there = sum(use[each.target] for each in far) / len(far)
+        near_utilisation = sum(utilisation[each.target] for each in near) / len(near)
+        far_utilisation = sum(utilisation[each.target] for each in far) / len(far)
         start, full = self.settings.spill_start, self.settings.spill_full
-        part = SCOUTS
-        if there < here:
-            part = max(part, ramp(here, start, full))
-        if there < full:
-            ratio = self.load.ratio(near, far, now)
-            part = max(part, MOST_FOR_SLOWNESS * ramp(ratio, SLOW_START, SLOW_FULL))
-        return self.rng.random() < part
-
-    def better(
-        self, endpoints: Sequence[Endpoint], use: dict[str, float], now: float
+        share = MIN_SPILL_SHARE
+        if far_utilisation < near_utilisation:
+            share = max(share, ramp(near_utilisation, start, full))
+        if far_utilisation < full:
+            ratio = self.load.latency_ratio(near, far, now)
+            share = max(
+                share,
+                MAX_SPILL_FOR_LATENCY
+                * ramp(ratio, SPILL_RATIO_START, SPILL_RATIO_FULL),
+            )
+        return self.rng.random() < share
+
+    def less_used(
+        self, endpoints: Sequence[Endpoint], utilisation: dict[str, float], now: float
     ) -> Endpoint:
         """Return the less used of two targets drawn at random."""
         first = self.draw(endpoints, now)
@@ -107,7 +114,7 @@
         second = self.draw(rest, now)
         slowness = self.load.slowness((first, second), now)
         costs = [
-            (use[each.target] + 1 / max(1, each.slots)) * slowness[each.target]
+            (utilisation[each.target] + 1 / max(1, each.slots)) * slowness[each.target]
             for each in (first, second)
         ]
         return second if costs[1] < costs[0] else first
@@ -115,18 +122,18 @@
     def draw(self, endpoints: Sequence[Endpoint], now: float) -> Endpoint:
         """Return a random target, one in slow start less often."""
         drawn = self.rng.choice(endpoints)
-        for _ in range(REDRAWS):
+        for _ in range(MAX_DRAWS):
             if self.rng.random() < self.slow_start.share(drawn.target, now):
                 return drawn
             drawn = self.rng.choice(endpoints)
         return drawn
 
-    def stick(
+    def pick_sticky(
         self,
         service: str,
         endpoints: Sequence[Endpoint],
         key: str,
-        use: dict[str, float],
+        utilisation: dict[str, float],
     ) -> Choice:
         """Return the key's target, or the next one that is not overloaded.
 
@@ -134,18 +141,20 @@
         moves the excess on, always to the same next target.
         """
         order = sorted(
-            endpoints, key=lambda each: hash_of(service, key, each.target), reverse=True
+            endpoints,
+            key=lambda each: stable_hash(service, key, each.target),
+            reverse=True,
         )
-        mean = sum(use.values()) / len(use)
-        for place, each in enumerate(order):
+        mean = sum(utilisation.values()) / len(utilisation)
+        for position, each in enumerate(order):
             free_slot = 1 / max(1, each.slots)
             bound = self.settings.sticky_bound * mean + free_slot
             # Near saturation the bound alone would leave the last targets of
             # the order part idle while the first ones queue.
-            if use[each.target] <= min(bound, 1.0):
-                reason = ChoiceReason.STICKY_MOVED if place else ChoiceReason.STICKY
+            if utilisation[each.target] <= min(bound, 1.0):
+                reason = ChoiceReason.STICKY_MOVED if position else ChoiceReason.STICKY
                 return Choice(each, reason)
-        least = min(order, key=lambda each: use[each.target])
+        least = min(order, key=lambda each: utilisation[each.target])
         return Choice(least, ChoiceReason.STICKY_MOVED)
 
 
--- a/sequoiaspoke/core/routing/retry.py
+++ b/sequoiaspoke/core/routing/retry.py
@@ -39,7 +39,7 @@
     from sequoiaspoke.errors import CallError
 
 # Another attempt meets the same answer.
-FINAL = (
+FINAL_ERRORS = (
     BadRequestError,
     DeadlineNotRunError,
     NoRuleError,
@@ -47,7 +47,7 @@
     RequestTooLargeError,
     TooDeepError,
 )
-FOR_LOAD = (OverloadedError, UpstreamShedError)
+OVERLOAD_ERRORS = (OverloadedError, UpstreamShedError)
 
 
 class GiveUpReason(StrEnum):
@@ -129,7 +129,7 @@
             self.budgets[service] = RetryBudget(self.settings)
         return self.budgets[service]
 
-    def first(self, service: str) -> None:
+    def first_attempt(self, service: str) -> None:
         """Note the first attempt of a call."""
         self.budget(service).earn()
 
@@ -140,7 +140,7 @@
         policy: CallPolicy,
         attempt: int,
         remaining: float,
-        arrived_as: int = 1,
+        incoming_attempt: int = 1,
     ) -> Retry | GiveUp:
         """Return what follows a failed attempt.
 
@@ -153,7 +153,7 @@
         arrived_as : int
             `Progress.attempt` with which the call came in.
         """
-        reason = self.refusal(error, policy, attempt, arrived_as)
+        reason = self.give_up_reason(error, policy, attempt, incoming_attempt)
         delay = self.delay(error, attempt)
         if reason is None and delay + self.settings.retry_least > remaining:
             reason = GiveUpReason.NO_TIME
@@ -163,25 +163,25 @@
         if reason is not None:
             self.given_up[reason] += 1
             return GiveUp(reason)
-        retry = Retry(delay, self.reason_for(error))
+        retry = Retry(delay, self.retry_reason(error))
         self.retried[retry.reason] += 1
         return retry
 
-    def refusal(
+    def give_up_reason(
         self,
         error: CallError,
         policy: CallPolicy,
         attempt: int,
-        arrived_as: int,
+        incoming_attempt: int,
     ) -> GiveUpReason | None:
         """Return why the call may not be tried again, budgets aside."""
-        if isinstance(error, FINAL):
+        if isinstance(error, FINAL_ERRORS):
             return GiveUpReason.FINAL
         if error.ran is not Ran.NOT_RUN and not policy.idempotent:
             return GiveUpReason.NOT_SAFE
         if error.retried:
             return GiveUpReason.RETRIED_BELOW
-        if arrived_as > 1:
+        if incoming_attempt > 1:
             return GiveUpReason.RETRIED_BEFORE
         if attempt >= policy.attempts:
             return GiveUpReason.ATTEMPTS
@@ -189,15 +189,15 @@
 
     def delay(self, error: CallError, attempt: int) -> float:
         """Return the seconds to wait; none when the target itself failed."""
-        if not isinstance(error, FOR_LOAD):
+        if not isinstance(error, OVERLOAD_ERRORS):
             return 0.0
         return self.rng.uniform(0, self.settings.retry_delay * 2 ** (attempt - 1))
 
-    def reason_for(self, error: CallError) -> RetryReason:
+    def retry_reason(self, error: CallError) -> RetryReason:
         """Return the reason under which a retry is counted."""
         if error.ran is not Ran.NOT_RUN:
             return RetryReason.IDEMPOTENT
-        if isinstance(error, FOR_LOAD):
+        if isinstance(error, OVERLOAD_ERRORS):
             return RetryReason.REFUSED_FOR_LOAD
         return RetryReason.NOT_RUN
 
--- a/sequoiaspoke/core/routing/slowstart.py
+++ b/sequoiaspoke/core/routing/slowstart.py
@@ -20,24 +20,24 @@
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
-        self.began: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
 
     def begin(self, target: str, now: float) -> None:
         """Start a target's warm-up anew."""
-        self.began[target] = now
+        self.started_at[target] = now
 
     def share(self, target: str, now: float) -> float:
         """Return the part of its share that a target gets, up to 1."""
-        began = self.began.get(target)
-        if began is None:
+        started_at = self.started_at.get(target)
+        if started_at is None:
             return 1.0
-        elapsed = now - began
+        elapsed = now - started_at
         if elapsed >= self.settings.slow_start:
-            del self.began[target]
+            del self.started_at[target]
             return 1.0
         least = self.settings.slow_start_least
         return least + (1 - least) * max(0.0, elapsed) / self.settings.slow_start
 
     def forget(self, target: str) -> None:
         """Drop a target that is gone."""
-        self.began.pop(target, None)
+        self.started_at.pop(target, None)
--- a/sequoiaspoke/core/routing/split.py
+++ b/sequoiaspoke/core/routing/split.py
@@ -22,13 +22,13 @@
 HASH_SPACE = 1 << 64
 
 
-def hash_of(*words: str) -> int:
+def stable_hash(*words: str) -> int:
     """Return the same 64-bit number for the same words on every node."""
     digest = hashlib.blake2b("\0".join(words).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
-class Turns:
+class WeightedRoundRobin:
     """Hand out turns in proportion to weights."""
 
     def __init__(self, split: tuple[WeightedService, ...], rng: Random) -> None:
@@ -40,8 +40,8 @@
 
     def next(self) -> str:
         """Return the service whose turn it is."""
-        for place, entry in enumerate(self.split):
-            self.credit[place] += entry.weight
+        for position, entry in enumerate(self.split):
+            self.credit[position] += entry.weight
         first = max(range(len(self.split)), key=self.credit.__getitem__)
         self.credit[first] -= self.total
         return self.split[first].service
@@ -52,7 +52,7 @@
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
-        self.turns: dict[str, Turns] = {}
+        self.turns: dict[str, WeightedRoundRobin] = {}
 
     def choose(self, rule: str, split: tuple[WeightedService, ...], key: str) -> str:
         """Return the service for the next call of a rule.
@@ -67,16 +67,18 @@
         if len(split) == 1:
             return split[0].service
         if key:
-            return self.by_key(rule, split, key)
+            return self.choose_by_key(rule, split, key)
         turns = self.turns.get(rule)
         if turns is None or turns.split != split:
-            turns = self.turns[rule] = Turns(split, self.rng)
+            turns = self.turns[rule] = WeightedRoundRobin(split, self.rng)
         return turns.next()
 
-    def by_key(self, rule: str, split: tuple[WeightedService, ...], key: str) -> str:
+    def choose_by_key(
+        self, rule: str, split: tuple[WeightedService, ...], key: str
+    ) -> str:
         """Return the service that a sticky key always gets."""
         total = sum(entry.weight for entry in split)
-        point = hash_of(rule, key) * total // HASH_SPACE
+        point = stable_hash(rule, key) * total // HASH_SPACE
         for entry in split:
             point -= entry.weight
             if point < 0:
--- a/sequoiaspoke/measure/loadentry.py
+++ b/sequoiaspoke/measure/loadentry.py
@@ -52,7 +52,7 @@
 
     def begin(self, call: Call) -> None:
         """Take a call from its caller."""
-        self.retries.first(SERVICE)
+        self.retries.first_attempt(SERVICE)
         self.run.clock.after(call.traffic.timeout, lambda: self.expired(call))
         self.attempt(call)
 
--- a/sequoiaspoke/node/attempts.py
+++ b/sequoiaspoke/node/attempts.py
@@ -69,7 +69,7 @@
             The last attempt's failure; no further one would help or is safe.
         """
         loop = asyncio.get_running_loop()
-        self.retries.first(service.name)
+        self.retries.first_attempt(service.name)
         tried: frozenset[str] = frozenset()
         number = 0
         while True:
@@ -81,7 +81,7 @@
             )
             target = choice.endpoint.target
             tried |= {target}
-            sent_as = progress.attempted(number).attempt
+            sent_as = progress.for_attempt(number).attempt
             attempt = replace(call, target=target, attempt=sent_as)
             try:
                 return await self.attempt(choice.endpoint, attempt, policy.idempotent)
--- a/sequoiaspoke/node/directcalls.py
+++ b/sequoiaspoke/node/directcalls.py
@@ -78,9 +78,9 @@
         """Ask the homes what is due."""
         self.looking = False
         loop = asyncio.get_running_loop()
-        for question in self.core.due(loop.time()):
+        for question in self.core.due_questions(loop.time()):
             self.send(question)
-        if self.core.holdings:
+        if self.core.held_grants:
             self.looking = True
             loop.call_later(LOOK_SECONDS, self.look)
 
@@ -142,13 +142,13 @@
 
     def retain(self, targets: frozenset[str]) -> None:
         """Forget targets that are gone, once no direct call runs there."""
-        for target in self.core.holdings.keys() - targets:
+        for target in self.core.held_grants.keys() - targets:
             self.core.forget(target)
-        for target in self.upstreams.keys() - self.core.holdings.keys():
+        for target in self.upstreams.keys() - self.core.held_grants.keys():
             self.upstreams.pop(target).close()
 
     def close(self) -> None:
         """Close the idle connections to upstreams."""
-        self.core.holdings.clear()
+        self.core.held_grants.clear()
         for pool in self.upstreams.values():
             pool.close()
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -8,7 +8,7 @@
 from tornado.httputil import HTTPHeaders
 
 from sequoiaspoke.core.routing.grants import Ask, Granted
-from sequoiaspoke.core.routing.grants_home import GrantHome, Room
+from sequoiaspoke.core.routing.grants_home import Capacity, GrantHome
 from sequoiaspoke.node import headers as names
 from sequoiaspoke.node.grantheader import read_message, write_answer
 from sequoiaspoke.node.loadheader import write_load
@@ -78,11 +78,11 @@
         if self.core.must_recall(self.room(), now):
             self.recall.set()
 
-    def room(self) -> Room:
+    def room(self) -> Capacity:
         """Return what admission says of the slots."""
         admission = self.home.gate.admission
         free = admission.free_slots()
-        return Room(admission.limit.current(), free, len(admission.queue))
+        return Capacity(admission.limit.current(), free, len(admission.queue))
 
     def take_over(self) -> None:
         """Let admission count what is lent, and use what came back."""
--- a/sequoiaspoke/sidecar/changelog.py
+++ b/sequoiaspoke/sidecar/changelog.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.routing.split import hash_of
+from sequoiaspoke.core.routing.split import stable_hash
 
 if TYPE_CHECKING:
     from sequoiaspoke.core.mesh.directory import Directory
@@ -26,7 +26,7 @@
             "endpoints",
             taken=len(held),
             gone=len(gone),
-            digest=f"{hash_of(*sorted(names)):016x}",
+            digest=f"{stable_hash(*sorted(names)):016x}",
             source=source,
         )
         return
--- a/sequoiaspoke/tests/test_grants.py
+++ b/sequoiaspoke/tests/test_grants.py
@@ -12,12 +12,12 @@
     Returned,
 )
 from sequoiaspoke.core.routing.grants_entry import GrantEntry
-from sequoiaspoke.core.routing.grants_home import GrantHome, Room
+from sequoiaspoke.core.routing.grants_home import Capacity, GrantHome
 from sequoiaspoke.core.routing.settings import RoutingSettings
 
 SETTINGS = RoutingSettings()
-IDLE = Room(limit=10, free=10, waiting=0)
-BUSY = Room(limit=10, free=0, waiting=3)
+IDLE = Capacity(limit=10, free=10, waiting=0)
+BUSY = Capacity(limit=10, free=0, waiting=3)
 
 
 class GrantCase(TestCase):
@@ -37,7 +37,7 @@
 
     def exchange(self, now, room):
         """Carry what the entry asks to the home and back."""
-        for question in self.entry.due(now):
+        for question in self.entry.due_questions(now):
             self.tell(question, room, now)
 
     def tell(self, question, room, now):
@@ -65,7 +65,7 @@
     def test_rare_use_asks_for_nothing(self):
         for now in range(10):
             self.call(float(now))
-            self.assertEqual([], self.entry.due(now + 0.5))
+            self.assertEqual([], self.entry.due_questions(now + 0.5))
 
     def test_an_unused_grant_is_given_back(self):
         self.entry.done("t", self.granted())
@@ -82,7 +82,7 @@
         """
         for _ in range(12):
             self.call(0.0)
-        (question,) = self.entry.due(0.0)
+        (question,) = self.entry.due_questions(0.0)
         answer = self.home.ask(question.message, IDLE, 0.1)
         self.entry.answered(question, answer)  # at 5.0, long after
         self.assertEqual(0, self.call(5.0))
@@ -96,10 +96,10 @@
             for _ in range(12):
                 self.call(now)
             if now == 0.0:
-                (first,) = self.entry.due(now)
+                (first,) = self.entry.due_questions(now)
                 answer = self.home.ask(first.message, IDLE, now)
                 self.entry.failed("t")
-        self.entry.due(2.1)
+        self.entry.due_questions(2.1)
         self.tell(self.entry.answered(first, answer), IDLE, 2.2)
         self.assertEqual(0, self.call(2.2))
         self.assertEqual(0, self.home.reserved)
@@ -154,7 +154,7 @@
         What the question said of calls in flight is old by then.
         """
         grant = self.granted()
-        (question,) = self.entry.due(0.6)
+        (question,) = self.entry.due_questions(0.6)
         self.assertEqual(grant, self.call(0.7))
         answer = self.home.ask(question.message, BUSY, 0.9)
         self.assertEqual(2, self.home.reserved)
@@ -166,7 +166,7 @@
     def test_half_of_the_slots_at_most_are_lent(self):
         for n in range(20):
             free = 10 - self.home.reserved
-            answer = self.home.ask(Ask(f"entry-{n}"), Room(10, free, 0), 0.0)
+            answer = self.home.ask(Ask(f"entry-{n}"), Capacity(10, free, 0), 0.0)
             self.assertIsInstance(answer, Granted if n < 3 else Denied)
         self.assertEqual(5, self.home.reserved)
 
@@ -208,7 +208,7 @@
             elif step == "a":
                 self.exchange(now, BUSY if flag else IDLE)
             elif step == "l":
-                for question in self.entry.due(now):
+                for question in self.entry.due_questions(now):
                     if flag and isinstance(question.message, Ask):
                         answer = self.home.ask(question.message, IDLE, now)
                         late.append((question, answer))
--- a/sequoiaspoke/tests/test_loadsockets.py
+++ b/sequoiaspoke/tests/test_loadsockets.py
@@ -186,7 +186,7 @@
                 self.assertEqual(200, status(answer))
             self.assertEqual(0, near.upstream.runs_total)
             self.assertEqual(20, far.upstream.runs_total)
-            known = near.node.entry.attempts.balancer.load.of(near.target)
+            known = near.node.entry.attempts.balancer.load.target_load(near.target)
             self.assertIs(UpstreamState.LEAVING, known.state)
 
         self.run_with(test)
@@ -204,7 +204,7 @@
                 answer = await raw(near.node.ports["call"], request("GET", "/"))
                 self.assertEqual(200, status(answer))
             self.assertEqual(20, far.upstream.runs_total)
-            known = near.node.entry.attempts.balancer.load.of(near.target)
+            known = near.node.entry.attempts.balancer.load.target_load(near.target)
             self.assertIs(UpstreamState.LEAVING, known.state)
 
         self.run_with(test)
@@ -217,7 +217,7 @@
                 answer = await raw(near.node.ports["call"], request("GET", "/"))
                 self.assertEqual(200, status(answer))
             self.assertEqual(30, far.upstream.runs_total)
-            known = near.node.entry.attempts.balancer.load.of(near.target)
+            known = near.node.entry.attempts.balancer.load.target_load(near.target)
             self.assertIs(UpstreamState.DOWN, known.state)
 
         self.run_with(test)
--- a/sequoiaspoke/tests/test_routing.py
+++ b/sequoiaspoke/tests/test_routing.py
@@ -117,7 +117,7 @@
         self.balancer.report("t1", LoadReport(0), 0.0)
         self.assertEqual(0, self.spread(ends, 100, now=0.1)["t0"])
         self.balancer.report("t1", LoadReport(3), 12.0)
-        others = self.balancer.load.others(ends, 12.0)
+        others = self.balancer.load.estimate_other_calls(ends, 12.0)
         self.assertTrue(others["t0"] < 4, others)
 
     def test_a_target_that_refuses_fast_does_not_look_idle(self):
@@ -301,7 +301,7 @@
             self.reason(RefusedByRuleError()),
             self.reason(ConnectError(), attempt=3),
             self.reason(ConnectError(), remaining=0.001),
-            self.reason(ConnectError(), arrived_as=2),
+            self.reason(ConnectError(), incoming_attempt=2),
             self.reason(retried(ConnectError())),
         ]
         expected = [
@@ -321,7 +321,7 @@
         Threefold load would keep the service down after its cause is gone.
         """
         for _ in range(1000):
-            self.retries.first("fleet")
+            self.retries.first_attempt("fleet")
             self.decide(OverloadedError())
         self.assertTrue(80 <= self.retries.retried.total() <= 95)
 
@@ -333,13 +333,15 @@
         """
         ran = Counter()
 
-        def call(depth, arrived_as):
+        def call(depth, incoming_attempt):
             if depth == 19:
                 ran["last"] += 1
                 return ConnectionLostError()
             for attempt in (1, 2, 3):
-                error = call(depth + 1, max(arrived_as, attempt))
-                decision = self.decide(error, attempt=attempt, arrived_as=arrived_as)
+                error = call(depth + 1, max(incoming_attempt, attempt))
+                decision = self.decide(
+                    error, attempt=attempt, incoming_attempt=incoming_attempt
+                )
                 if isinstance(decision, GiveUp):
                     error.retried = error.retried or attempt > 1
                     return error
