--- a/sequoiaspoke/core/admission/__init__.py
+++ b/sequoiaspoke/core/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which calls a target lets in."""
+"""Admission control: which calls a target runs, queues or refuses."""
--- a/sequoiaspoke/core/admission/admission.py
+++ b/sequoiaspoke/core/admission/admission.py
@@ -1,10 +1,10 @@
-"""Decide at the target's own node which calls run, wait or are turned away.
+"""Decide at the home node which calls to a target run, wait or are refused.
 
-A target under more load than it bears answers nobody in time, unless something
-in front of it runs as many calls as it does well, keeps a short queue and turns
-the rest away at once, while they can still go elsewhere. Every call to a target
-passes here, so the count of its slots is exact without agreement between nodes.
-The parts explain themselves: `limit`, `queue`, `shares`, `lanes`, `durations`.
+An overloaded target answers no call in time. Admission control therefore limits
+its concurrent calls, keeps a short queue and refuses the rest at once, while
+they can still be sent to another target. Every call to a target passes its home
+node, so its slots are counted exactly without coordination between nodes. See
+the modules `limit`, `queue`, `shares`, `longcalls` and `durations`.
 """
 
 from __future__ import annotations
@@ -37,14 +37,22 @@
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.errors import CallError
 
-MIN_RETRY_AFTER = 1.0  # seconds; HTTP knows no fractions
+MIN_RETRY_AFTER = 1.0  # seconds; the HTTP header has no fractions
 MAX_RETRY_AFTER = 30.0
-DEFAULT_DURATION = 0.05  # seconds a call is taken to last before any has ended
+DEFAULT_DURATION = 0.05  # assumed seconds per call before any call has finished
 
 
 @dataclass(frozen=True)
 class RunningCall:
-    """A call that holds a slot."""
+    """A call that holds a slot.
+
+    Attributes
+    ----------
+    expected_cost : float
+        Slot time in seconds that its caller and key were charged at the start.
+    concurrency : int
+        Calls that ran when it started, itself included.
+    """
 
     arrival: Arrival
     started_at: float
@@ -54,12 +62,12 @@
 
 
 class Admission:
-    """Admit calls to one target.
+    """Control the admission of calls to one target.
 
     Attributes
     ----------
     refused : Counter of RefusalReason
-        Refusals so far by reason.
+        Number of refusals by reason.
     reserved : int
         Slots held by granted direct connections.
     """
@@ -80,7 +88,7 @@
         self.refused: Counter[RefusalReason] = Counter()
 
     def arrive(self, call: Arrival, now: float) -> list[Verdict]:
-        """Decide on a new call; the verdicts may concern others, too."""
+        """Admit, queue or refuse a new call; verdicts may also concern other calls."""
         if self.draining:
             return [self.refuse((call, RefusalReason.DRAINING))]
         if call.deadline <= now:
@@ -92,20 +100,20 @@
         verdicts = [self.refuse(each) for each in refusals]
         if all(verdict.call != call.call for verdict in verdicts):
             verdicts.append(Queued(call.call))
-        # Slots kept from the long calls that wait may be free for this one.
+        # Slots that waiting long calls may not use may be free for this call.
         return verdicts + self.start_waiting(now)
 
     def release(
         self, call: int, outcome: Outcome, latency: float, now: float
     ) -> list[Verdict]:
-        """Take back the slot of a call and pass it on.
+        """Release the slot of a call and start waiting calls.
 
         Parameters
         ----------
         outcome : Outcome
             `FAILED` means that no connection could be opened.
         latency : float
-            Seconds from hand-over to the head of the answer.
+            Seconds from passing the call to the upstream to the response head.
         """
         running = self.running.pop(call, None)
         if running is None:
@@ -126,20 +134,20 @@
         return self.tick(now)
 
     def cancel(self, call: int) -> bool:
-        """Forget a waiting call whose caller went away."""
+        """Remove a waiting call that its caller has cancelled."""
         return self.queue.remove(call)
 
     def tick(self, now: float) -> list[Verdict]:
-        """Give up on what is too late and start what fits; call it often."""
+        """Refuse calls that waited too long and start calls; to be called often."""
         verdicts: list[Verdict] = [self.refuse(each) for each in self.queue.expire(now)]
         return verdicts + self.start_waiting(now)
 
     def drain(self) -> None:
-        """Take no new calls; those that wait or run finish."""
+        """Refuse new calls from now on; waiting and running calls still finish."""
         self.draining = True
 
     def report(self, now: float) -> LoadReport:
-        """Return the load to tell other nodes."""
+        """Return the load report for other nodes."""
         limit = self.limit.current()
         state = self.health.state(now)
         if self.draining:
@@ -152,11 +160,11 @@
         )
 
     def free_slots(self) -> int:
-        """Return the slots that nothing holds."""
+        """Return the number of slots that neither a call nor a grant holds."""
         return self.limit.current() - self.reserved - len(self.running)
 
     def has_slot(self, call: Arrival, now: float) -> bool:
-        """Return whether a call may start now."""
+        """Return whether a slot is free for a call of this kind."""
         free = self.free_slots()
         if free <= 0:
             return False
@@ -178,7 +186,7 @@
         return verdicts
 
     def start(self, call: Arrival, now: float) -> Started:
-        """Give a slot to a call."""
+        """Give a slot to a call and charge its caller and key."""
         cost = self.durations.expected(call.kind)
         self.shares.start(call, cost)
         is_long = self.long_calls.is_long(call.kind)
@@ -188,18 +196,18 @@
         return Started(call.call)
 
     def completion_rate(self) -> float:
-        """Estimate the calls that the target finishes per second."""
+        """Estimate how many calls the target completes per second."""
         mean = self.durations.overall.held.mean or DEFAULT_DURATION
         return max(1, self.limit.current() - self.reserved) / mean
 
     def refuse(self, refusal: Refusal) -> Refused:
-        """Make the final answer of a call that is given up on."""
+        """Count a refusal and return its verdict."""
         call, reason = refusal
         self.refused[reason] += 1
         return Refused(call.call, reason, self.error(reason))
 
     def error(self, reason: RefusalReason) -> CallError:
-        """Return the typed error of a refusal."""
+        """Return the error to answer for a refusal reason."""
         if reason is RefusalReason.DRAINING:
             return DrainingError(reason.value)
         if reason in (RefusalReason.DEADLINE_TOO_CLOSE, RefusalReason.EXPIRED):
@@ -207,9 +215,9 @@
         return OverloadedError(reason.value, self.retry_after())
 
     def retry_after(self) -> float:
-        """Return when the queue of now will be gone, spread by chance.
+        """Return the seconds until the present queue has drained, with jitter.
 
-        Without the spread all that were refused together return together.
+        Without the jitter all callers refused at one time would retry at one time.
         """
         seconds = MIN_RETRY_AFTER + len(self.queue) / self.completion_rate()
         return min(MAX_RETRY_AFTER, seconds * (1 + self.rng.random()))
--- a/sequoiaspoke/core/admission/durations.py
+++ b/sequoiaspoke/core/admission/durations.py
@@ -1,12 +1,12 @@
-"""Measure how long each kind of call holds a slot, and when it is answered.
-
-Nothing that callers declare says how long a call will take, and a rule that
-says so is wrong after the next release of the upstream. How long finished calls
-held their slots, by kind, tells what a call costs its caller's share and which
-work is long. How long they took to the head of their answers tells which calls
-can still be answered in time. The two differ for streams: a recording begins
-within milliseconds and runs for minutes, and held against its deadline by its
-whole length it would be refused whenever a call waits.
+"""Estimate how long each kind of call holds a slot and when it is answered.
+
+Callers don't declare how long a call takes, and a duration configured in a rule
+is wrong after the next release of the upstream, so durations are measured. The
+slot times of finished calls, by kind, give the cost charged to a caller and tell
+long calls from short ones. The times to the response head tell which calls can
+still be answered in time. The two differ for streams: a recording starts within
+milliseconds and runs for minutes. If its deadline were compared with its slot
+time, it would be refused whenever another call waits.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-WEIGHT = 0.1  # of the newest call; ten calls outweigh all before
-REFUSAL_DECAY = 0.01  # a hundred refusals take a duration to a third
-MAX_KINDS = 256  # remembered at most, so that odd kinds don't fill the memory
-SHORT_QUANTILE = 0.1  # of the calls whose durations define what is short
+WEIGHT = 0.1  # of the newest call; the last ten outweigh all earlier ones
+REFUSAL_DECAY = 0.01  # a hundred refusals reduce an estimate to about a third
+MAX_KINDS = 256  # bounds the memory when there are many kinds
+SHORT_QUANTILE = 0.1  # the quantile of durations that counts as short
 
 
 @dataclass
@@ -28,7 +28,7 @@
     deviation: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Take in one more call."""
+        """Update the averages with a finished call."""
         difference = seconds - self.mean
         self.mean += WEIGHT * difference
         self.deviation += WEIGHT * (abs(difference) - self.deviation)
@@ -36,16 +36,16 @@
 
 @dataclass
 class KindDurations:
-    """What is remembered of one kind of calls.
+    """Durations and frequency of one kind of call.
 
     Attributes
     ----------
-    held : Duration
-        Of the slot.
-    head : Duration
-        Until the head of the answer.
-    calls : float
-        How frequent it is among recent calls.
+    held : DurationEstimate
+        How long a call holds its slot.
+    head : DurationEstimate
+        Time to the response head.
+    frequency : float
+        Exponentially decayed number of calls.
     """
 
     held: DurationEstimate
@@ -53,13 +53,13 @@
     frequency: float = 0.0
 
     def add(self, held: float, head: float) -> None:
-        """Take in one more call."""
+        """Update both estimates with a finished call."""
         self.held.add(held)
         self.head.add(head)
 
 
 class Durations:
-    """Remember the durations of the kinds seen lately."""
+    """Keep the durations of the most recently used kinds."""
 
     def __init__(self) -> None:
         self.kinds: OrderedDict[str, KindDurations] = OrderedDict()
@@ -67,7 +67,7 @@
         self.short_duration = 0.0
 
     def add(self, kind: str, held: float, head: float) -> None:
-        """Note how long a call held its slot, and took to its answer's head."""
+        """Record a call's slot time and its time to the response head."""
         known = self.kinds.get(kind)
         if known is None:
             known = self.kinds[kind] = KindDurations(
@@ -83,7 +83,7 @@
         self.update_frequencies(known)
 
     def update_frequencies(self, newest: KindDurations) -> None:
-        """Update how frequent each kind is and what is short."""
+        """Update the frequency of each kind and the duration of short calls."""
         for each in self.kinds.values():
             each.frequency *= 1 - WEIGHT / 10
         newest.frequency += 1
@@ -96,23 +96,26 @@
                 return
 
     def expected(self, kind: str) -> float:
-        """Return how long a kind holds its slot, or all when it is new."""
+        """Return the mean slot time of a kind, or of all calls if it is unknown."""
         return self.kinds.get(kind, self.overall).held.mean
 
     def answer_time(self, kind: str) -> float:
-        """Return the mean seconds to the head of a kind's answer."""
+        """Return the mean time to the response head of a kind, in seconds."""
         return self.kinds.get(kind, self.overall).head.mean
 
     def likely_answer_time(self, kind: str) -> float:
-        """Return the seconds within which most answers of a kind begin."""
+        """Return the seconds within which most answers of a kind begin.
+
+        This is the mean plus one mean deviation.
+        """
         head = self.kinds.get(kind, self.overall).head
         return head.mean + head.deviation
 
     def decay_answer_time(self, kind: str) -> None:
-        """Lower a kind's time to answer a little, since it turned a call away.
+        """Reduce a kind's answer time slightly after it caused a refusal.
 
-        Calls that are turned away bring no new measurement. A kind that was
-        slow once would be refused for as long as there is a queue.
+        Refused calls add no measurement, so without the decay a kind that was
+        slow once would be refused as long as there is a queue.
         """
         known = self.kinds.get(kind)
         if known:
@@ -120,10 +123,10 @@
             known.head.deviation *= 1 - REFUSAL_DECAY
 
     def is_long(self, kind: str, factor: float) -> bool:
-        """Return whether a kind lasts a multiple of the short ones.
+        """Return whether a kind lasts more than `factor` times a short call.
 
-        A kind never seen counts as long once short work is known: a flood of
-        new calls would otherwise hold every slot before the first one ends.
+        An unknown kind counts as long once short calls are known. Otherwise a
+        burst of new calls could take every slot before the first one finishes.
         """
         if not self.short_duration:
             return False
--- a/sequoiaspoke/core/admission/health.py
+++ b/sequoiaspoke/core/admission/health.py
@@ -1,14 +1,15 @@
-"""Tell from real calls whether this node's upstream is down or cold.
-
-The upstream's own health page lags and misleads, so it is not asked. Three
-refused connections in a row mean down: one may be a full backlog. The first
-answer ends that. Before the first answer and for some seconds after it the
-upstream counts as cold, so that other nodes give it its share step by step.
-
-An upstream that drains by itself refuses what it gets. Each refusal would cost
-its caller another attempt and the service a token of its retries, so one such
-answer makes the target count as leaving for some seconds. It ends, since a drain
-may be called off.
+"""Derive the state of this node's upstream from the calls made to it.
+
+The upstream's health page is not used, since it lags and can be wrong. Three
+refused connections in a row mean that the upstream is down; a single one may
+come from a full backlog. The next answer ends that state. Until the first answer
+and for some seconds after it the upstream counts as cold, so that other nodes
+raise its share of calls gradually.
+
+A draining upstream refuses every call, and each refusal costs another attempt
+and a token of the service's retry budget. One such refusal therefore makes the
+target count as leaving for some seconds. The state expires because a drain may
+be cancelled.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.admission.settings import AdmissionSettings
 
-DOWN_THRESHOLD = 3
+DOWN_THRESHOLD = 3  # refused connections in a row
 
 
 class UpstreamHealth:
-    """Follow the connections and answers of the upstream."""
+    """Track the connections and answers of the upstream."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
@@ -33,25 +34,25 @@
         self.first_answer_at = float("inf")
 
     def answered(self, now: float) -> None:
-        """Note an answer."""
+        """Record an answer."""
         if self.first_answer_at == float("inf") or self.is_down():
             self.first_answer_at = now
         self.refused_connections = 0
 
     def upstream_draining(self, now: float) -> None:
-        """Note that the upstream refused a call because it drains."""
+        """Record that the upstream refused a call because it is draining."""
         self.draining_at = now
 
     def connection_refused(self) -> None:
-        """Note that no connection could be opened."""
+        """Record that no connection could be opened."""
         self.refused_connections += 1
 
     def is_down(self) -> bool:
-        """Return whether the upstream takes no connections."""
+        """Return whether the upstream refuses connections."""
         return self.refused_connections >= DOWN_THRESHOLD
 
     def state(self, now: float) -> UpstreamState:
-        """Return what to tell other nodes."""
+        """Return the state to report to other nodes."""
         if now - self.draining_at < self.settings.drain_memory:
             return UpstreamState.LEAVING
         if self.is_down():
--- a/sequoiaspoke/core/admission/limit.py
+++ b/sequoiaspoke/core/admission/limit.py
@@ -1,15 +1,17 @@
-"""Learn how many calls the target runs well at once.
-
-The published slots are what an upstream should bear; a sick one bears less and
-its health page does not say so. Too many calls at once then make each slower
-until none meets its deadline. Latency alone does not show it: an upstream that
-is slow for reasons of its own, such as a service behind it, is slow at any
-concurrency, and lowering the limit would only throw its throughput away. So the
-limit compares: latency near the limit with latency at half of it, measured
-within the last seconds. Half, because a target that is not crowded answers as
-fast at half as at full. Only a ratio above the tolerance lowers the limit, by a
-tenth; each round of calls without one raises it by one. An upstream that sheds
-lowers it at once and keeps it below that level for a second.
+"""Adapt the number of concurrent calls to what the target can run.
+
+The published slots are an upstream's nominal capacity. A degraded upstream has
+less, and its health page does not show it. Too many concurrent calls then slow
+each other down until none meets its deadline. Latency alone is no evidence of
+that: an upstream that waits for a slow dependency is slow at any concurrency,
+and a lower limit would only reduce its throughput.
+
+The limit therefore compares the latency near the limit with a recent latency at
+half of it. A target that is not overloaded answers as fast at the limit as at
+half. Only a ratio above the tolerance lowers the limit, by a tenth. A round of
+answers with a lower ratio raises it, by one or faster after a fall. When the
+upstream sheds a call, the limit falls at once and stays below that concurrency
+for a second.
 """
 
 from __future__ import annotations
@@ -21,26 +23,26 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.admission.settings import AdmissionSettings
 
-WEIGHT = 0.1  # of the newest call in the mean ratio
-CALIBRATION_CALLS = 5  # at least, for the latency at half the limit
-UNBOUNDED = 1 << 30
+WEIGHT = 0.1  # of the newest answer in the moving averages
+CALIBRATION_CALLS = 5  # minimum for a new latency at half the limit
+UNBOUNDED = 1 << 30  # stands for no limit
 MAX_KINDS = 256
 
 
 class Limit(ABC):
-    """Bound the calls that run at once."""
+    """Limit the number of concurrent calls."""
 
     def __init__(self, settings: AdmissionSettings, slots: int) -> None:
         self.settings = settings
         self.slots = max(1, slots)
 
     def resize(self, slots: int) -> None:
-        """Take over the slots of a new version."""
+        """Apply the slots published in a new configuration version."""
         self.slots = max(1, slots)
 
     @abstractmethod
     def current(self) -> int:
-        """Return how many calls may run at once now."""
+        """Return how many calls may run concurrently now."""
 
     def answered(  # noqa: B027
         self,
@@ -49,22 +51,22 @@
         concurrency: int,
         now: float,
     ) -> None:
-        """Learn from an answer.
+        """Update the limit from an answer.
 
         Parameters
         ----------
         latency : float
-            Seconds from hand-over to the head of the answer.
-        beside : int
-            Calls that ran when it began, itself included.
+            Seconds from passing the call to the upstream to the response head.
+        concurrency : int
+            Calls that ran when it started, itself included.
         """
 
     def shed(self, running: int, now: float) -> None:  # noqa: B027
-        """Learn from the upstream's own refusal while so many calls ran."""
+        """Update the limit after the upstream refused a call at this concurrency."""
 
 
 class FixedLimit(Limit):
-    """Run as many calls as the target publishes slots; learn nothing."""
+    """Run as many concurrent calls as the target publishes slots."""
 
     def current(self) -> int:
         """Return the published slots."""
@@ -72,15 +74,15 @@
 
 
 class NoLimit(Limit):
-    """Run everything at once; what a proxy without a limit does."""
+    """Run all calls at once, as a proxy without admission control does."""
 
     def current(self) -> int:
-        """Return a number that is never reached."""
+        """Return a limit that is never reached."""
         return UNBOUNDED
 
 
 class AdaptiveLimit(Limit):
-    """Lower the limit where concurrency makes calls slower."""
+    """Lower the limit when concurrency slows calls down, and raise it otherwise."""
 
     def __init__(self, settings: AdmissionSettings, slots: int) -> None:
         super().__init__(settings, slots)
@@ -99,7 +101,7 @@
         self.grown_since_fall = False
 
     def resize(self, slots: int) -> None:
-        """Take over the slots of a new version; what was learnt stays."""
+        """Apply newly published slots and keep a limit that is below the old ones."""
         at_maximum = self.value >= self.slots
         super().resize(slots)
         if at_maximum:
@@ -108,12 +110,12 @@
         self.value = min(max(self.value, self.minimum), float(self.slots))
 
     def current(self) -> int:
-        """Return the learnt limit, or half of it while calibrating."""
+        """Return the adapted limit, or half of it during a calibration."""
         value = self.value / 2 if self.calibration_answers_left else self.value
         return max(1, math.floor(value))
 
     def answered(self, kind: str, latency: float, concurrency: int, now: float) -> None:
-        """Learn from an answer; decide once a round of `limit` answers."""
+        """Update the mean ratio, and the limit once per round of `limit` answers."""
         if concurrency <= max(1, self.value / 2):
             self.update_baseline(kind, latency, now)
         elif kind in self.baselines:
@@ -129,7 +131,7 @@
             self.adjust(now)
 
     def update_baseline(self, kind: str, latency: float, now: float) -> None:
-        """Take in the latency of a call that ran beside few others."""
+        """Update the baseline latency with a call that ran at low concurrency."""
         baseline = self.baselines.get(kind)
         if baseline is None or self.calibration_answers_left:
             weight = 2 * WEIGHT if baseline is not None else 1.0
@@ -146,10 +148,10 @@
             self.begin_round(1.0)
 
     def adjust(self, now: float) -> None:
-        """Move the limit at the end of a round."""
+        """Raise or lower the limit, or calibrate, at the end of a round."""
         outdated = now - self.baseline_at > self.settings.calibration_age
-        # Overloaded from its first call on, a target never runs calls beside
-        # few others, and nothing would ever be compared.
+        # A target that is overloaded from its first call on never runs calls at
+        # low concurrency, so without a calibration no ratio would be known.
         never_compared = self.limit_reached and not self.compared_answers
         if outdated and (never_compared or self.ratio > self.settings.tolerance):
             self.calibrate()
@@ -157,25 +159,28 @@
         if self.ratio > self.settings.tolerance:
             self.lower(self.value)
         elif self.limit_reached and self.may_grow(now):
-            # Half of the way back to where the limit was before it fell, so
-            # that what an outage took is back within a few rounds.
+            # Goes half of the way back to the limit before the fall, so that it
+            # recovers from an outage within a few rounds.
             step = max(1.0, (self.value_before_fall - self.value) / 2)
             self.value = min(float(self.slots), self.value + step)
             self.grown_since_fall = True
         self.begin_round(self.ratio)
 
     def lower(self, level: float) -> None:
-        """Go a step below a level, remembering where a fall began."""
+        """Lower the limit to a step below a level.
+
+        The value at the start of a series of falls is kept for the recovery.
+        """
         if self.grown_since_fall:
             self.value_before_fall = self.value
             self.grown_since_fall = False
         self.value = max(self.minimum, level * self.settings.decrease)
 
     def may_grow(self, now: float) -> bool:
-        """Return whether the limit may pass the level of the last shed.
+        """Return whether the limit may grow, given the level of the last shed.
 
-        Calls shed at the floor were not shed for their number; waiting after
-        an outage would only lengthen it.
+        Calls shed at the minimum limit were not shed because of concurrency, so
+        holding the limit down would only prolong an outage.
         """
         if self.shed_level <= self.minimum:
             return True
@@ -184,24 +189,24 @@
         return now - self.shed_at >= self.settings.shed_hold
 
     def calibrate(self) -> None:
-        """Run at half the limit until the latency there is known anew."""
+        """Run at half the limit until the latency there has been measured again."""
         self.calibration_answers_left = max(CALIBRATION_CALLS, math.floor(self.value))
-        # Kinds that no call of this calibration shows would go on being
-        # compared with how the upstream was before.
+        # Kinds without a call in this calibration would otherwise be compared
+        # with outdated latencies.
         self.baselines.clear()
 
     def begin_round(self, ratio: float) -> None:
-        """Start counting answers anew."""
+        """Reset the counters of a round."""
         self.answers_in_round = 0
         self.limit_reached = False
         self.compared_answers = 0
         self.ratio = ratio
 
     def shed(self, running: int, now: float) -> None:
-        """Go below the level at which the upstream shed.
+        """Lower the limit below the concurrency at which the upstream shed a call.
 
-        Several calls are shed at one level; lowering the limit for each would
-        end at its floor, so only those within the present limit count.
+        Several calls may be shed at one level. Lowering the limit for each of
+        them would end at the minimum, so calls above the current limit are ignored.
         """
         if running > self.value or running <= 1:
             return
@@ -215,5 +220,5 @@
 
 
 def make_limit(settings: AdmissionSettings, slots: int) -> Limit:
-    """Return the limit that the settings name."""
+    """Return the limit policy that the settings select."""
     return POLICIES[settings.limit](settings, slots)
--- a/sequoiaspoke/core/admission/longcalls.py
+++ b/sequoiaspoke/core/admission/longcalls.py
@@ -1,14 +1,15 @@
-"""Keep slots free for short work while long work runs.
-
-A recording's archive page takes a hundred times as long as a look at the
-portal. A few archive pages hold every slot for seconds, and everyone's short
-calls queue behind them: the slots are busy, yet few callers are served. Long
-work, told by measured durations, therefore leaves half as many slots again as
-short work has been using, at least one and at most half. More than short work
-uses, since short calls come in bunches; twice as many cost long work a tenth of
-its throughput in a measured mix for little gain. No more than half, so that
-long work never starves in turn; and none once no short call has come for ten
-seconds, so that no slot idles.
+"""Keep slots free for short calls while long calls run.
+
+Some calls take a hundred times as long as others. A few of them can hold every
+slot for seconds while all short calls queue behind them. Long calls, identified
+by measured durations, must therefore leave 1.5 times as many slots as short calls
+have been using, at least one and at most half of the limit:
+
+- More than short calls use, because short calls arrive in bursts. A factor of 2
+  instead of 1.5 cost long calls a tenth of their throughput for little gain.
+- At most half, so that long calls are not starved in turn.
+- None if no short call has arrived for ten seconds (`long_memory`), so that no
+  slot stays idle.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 SHORT_USE_FACTOR = 1.5
 MAX_SHORT_SHARE = 0.5
-AVERAGING_SECONDS = 1.0  # over which the use by short work is averaged
+AVERAGING_SECONDS = 1.0  # time constant of the average use by short calls
 
 
 class LongCallLimiter:
-    """Tell long work from short and bound the slots of long work."""
+    """Tell long calls from short ones and limit the slots of long calls."""
 
     def __init__(self, settings: AdmissionSettings, durations: Durations) -> None:
         self.settings = settings
@@ -36,16 +37,16 @@
         self.short_use_updated_at = 0.0
 
     def is_long(self, kind: str) -> bool:
-        """Return whether calls of a kind are long work."""
+        """Return whether calls of a kind are long."""
         return self.durations.is_long(kind, self.settings.long_factor)
 
     def arrived(self, kind: str, now: float) -> None:
-        """Note an arrival."""
+        """Record the arrival of a call."""
         if not self.is_long(kind):
             self.last_short_arrival = now
 
     def finished(self, kind: str, seconds: float, now: float) -> None:
-        """Note how long a call held its slot."""
+        """Add the slot time of a finished call to the use by short calls."""
         if self.is_long(kind):
             return
         gap = max(0.0, now - self.short_use_updated_at)
@@ -54,7 +55,7 @@
         self.short_use += seconds / AVERAGING_SECONDS
 
     def slots_for_short(self, limit: int, now: float) -> int:
-        """Return the slots that long work leaves free."""
+        """Return the number of slots that long calls must leave free."""
         if now - self.last_short_arrival > self.settings.long_memory:
             return 0
         if not self.durations.short_duration:
--- a/sequoiaspoke/core/admission/model.py
+++ b/sequoiaspoke/core/admission/model.py
@@ -1,4 +1,4 @@
-"""What admission decides on and what it answers."""
+"""Inputs and verdicts of admission control."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A call that asks for a slot of the target.
+    """A call that requests a slot of the target.
 
     Attributes
     ----------
     caller : str
-        Who is charged for it.
+        Name of the caller that is charged for the call.
     key : str
-        What it is about, as a sticky key; empty for nothing in particular.
+        Sticky key of the call, empty for none; it is charged as well.
     kind : str
-        What durations are remembered by, such as the name of the rule.
+        Group of calls with similar durations, such as the name of the rule.
     deadline : float
-        Time at which its caller stops waiting.
+        Time at which the caller stops waiting.
     """
 
     call: int
@@ -38,7 +38,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a call was turned away; each has a counter."""
+    """Reason of a refusal; each has a counter."""
 
     QUEUE_FULL = "queue-full"
     OVER_SHARE = "caller-over-its-share"
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True)
 class Started:
-    """The call holds a slot now; hand it over."""
+    """The call holds a slot and is to be passed to the upstream."""
 
     call: int
 
 
 @dataclass(frozen=True)
 class Queued:
-    """The call waits; a later verdict says how it ends."""
+    """The call waits; a later verdict starts or refuses it."""
 
     call: int
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The call was not run; answer with the error at once."""
+    """The call has not run and will not; the error is to be answered at once."""
 
     call: int
     reason: RefusalReason
--- a/sequoiaspoke/core/admission/queue.py
+++ b/sequoiaspoke/core/admission/queue.py
@@ -1,18 +1,20 @@
 """Order and bound the calls that wait for a slot.
 
-A queue helps with a burst and harms under standing overload: every call waits
-the whole queue's length, most are answered after their callers have gone, and
-the target works at full load for nobody. So no call waits longer than its
-priority allows or than leaves time to answer it. Once the queue has not been
-empty for half of that, and its oldest call has waited a quarter, the newest go
-first: a burst would have passed, so the overload stands, and the newest callers
-are still there. A queue that merely lasts but moves stays in order. Whoever is
-given up on hears so at once, with a time to return.
-
-An urgent call is worth little late, so it waits least and is refused early; a
-patient one, such as an archive page, may wait many seconds. Between priorities
-the slots are shared 8 : 4 : 1, not strictly, since a stream of urgent calls
-would otherwise keep archive pages from ever arriving.
+A queue absorbs a burst but harms under persistent overload: every call waits for
+the whole queue, most are answered after their callers have gone, and the target's
+work is wasted. So a call waits no longer than its priority allows, nor so long
+that it could not be answered before its deadline.
+
+If a priority's queue has not been empty for half of its maximum wait, and its
+oldest call has waited a quarter of it, the overload counts as persistent, since a
+burst would have passed. Then the newest calls go first, because their callers
+are still waiting. A queue that is never empty but keeps moving stays in order of
+arrival. Refused callers are told at once, with a time to retry after.
+
+A late answer to an urgent call is worth little, so it waits least and is refused
+early; a patient call may wait many seconds. Slots are shared 8 : 4 : 1 between
+priorities. Strict priority would starve patient calls under a steady stream of
+urgent ones.
 """
 
 from __future__ import annotations
@@ -34,13 +36,14 @@
 
 PRIORITY_WEIGHTS = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
 
-REFUSAL_DELIVERY_SECONDS = 0.03  # a look at the queue every 20 ms, and the way back
+# Longest time until a refusal reaches the entry: the queue is checked every 20 ms.
+REFUSAL_DELIVERY_SECONDS = 0.03
 
 Refusal = tuple["Arrival", RefusalReason]
 
 
 class CallQueue(ABC):
-    """Hold the calls that wait."""
+    """Hold the calls that wait for a slot."""
 
     @abstractmethod
     def __len__(self) -> int:
@@ -48,29 +51,29 @@
 
     @abstractmethod
     def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
-        """Let a call wait; return the calls given up on, it or others.
+        """Queue a call; return the refused calls, which may include others.
 
         Parameters
         ----------
         rate : float
-            Calls that the target finishes per second.
+            Calls that the target completes per second.
         """
 
     @abstractmethod
     def pop(self, allow: Callable[[Arrival], bool], now: float) -> Arrival | None:
-        """Take out the next call among those allowed."""
+        """Remove and return the next call for which `allow` is true."""
 
     @abstractmethod
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
 
     @abstractmethod
     def expire(self, now: float) -> list[Refusal]:
-        """Take out the calls to give up on by now."""
+        """Remove and return the calls to refuse by now."""
 
 
 class FifoQueue(CallQueue):
-    """Serve in order of arrival whatever the deadlines; the baseline."""
+    """Serve in order of arrival regardless of deadlines, as a baseline."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
@@ -86,7 +89,7 @@
         rate: float,  # noqa: ARG002
         now: float,  # noqa: ARG002
     ) -> list[Refusal]:
-        """Append a call unless the queue is full."""
+        """Append a call, or refuse it if the queue is full."""
         if len(self.calls) >= self.settings.queue_calls:
             return [(call, RefusalReason.QUEUE_FULL)]
         self.calls.append(call)
@@ -97,11 +100,11 @@
         allow: Callable[[Arrival], bool],  # noqa: ARG002
         now: float,  # noqa: ARG002
     ) -> Arrival | None:
-        """Take out the oldest call."""
+        """Remove and return the oldest call."""
         return self.calls.popleft() if self.calls else None
 
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
         for each in self.calls:
             if each.call == call:
                 self.calls.remove(each)
@@ -109,17 +112,21 @@
         return False
 
     def expire(self, now: float) -> list[Refusal]:  # noqa: ARG002
-        """Keep everything."""
+        """Refuse nothing."""
         return []
 
 
 class WaitingCalls:
-    """The calls of one priority that wait.
+    """The waiting calls of one priority.
 
     Attributes
     ----------
     virtual_time : float
         Virtual time of the priority, which advances with each call served.
+    busy_since : float
+        When the queue last became non-empty.
+    newest_first : bool
+        Whether the overload was found to be persistent.
     """
 
     def __init__(self, max_wait: float) -> None:
@@ -130,12 +137,12 @@
         self.newest_first = False
 
     def begin(self, now: float) -> None:
-        """Note that the first call after a pause waits."""
+        """Record that the queue becomes non-empty."""
         self.busy_since = now
         self.newest_first = False
 
     def overloaded(self, now: float) -> bool:
-        """Return whether the overload stands; once so until nothing waits."""
+        """Return whether the overload is persistent; this holds until none waits."""
         if not self.calls:
             return False
         oldest = next(iter(self.calls.values()))
@@ -146,7 +153,7 @@
 
 
 class FairQueue(CallQueue):
-    """Serve by priority, then by who has had least."""
+    """Serve by weighted priority, then by the least served caller and key."""
 
     def __init__(
         self, settings: AdmissionSettings, durations: Durations, shares: Shares
@@ -165,11 +172,11 @@
         return sum(len(each.calls) for each in self.waiting.values())
 
     def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
-        """Let a call wait if it can be answered in time."""
+        """Queue a call if it can be answered in time."""
         refusals = self.expire(now)
         waiting = self.waiting[call.priority]
         if not waiting.calls:
-            # The priority starts at the present and has saved nothing up.
+            # An idle priority accumulates no credit.
             waiting.begin(now)
             waiting.virtual_time = max(waiting.virtual_time, self.least_virtual_time())
         reason = self.refusal_reason(call, waiting, rate, now)
@@ -181,14 +188,14 @@
         return refusals
 
     def least_virtual_time(self) -> float:
-        """Return the least virtual time of a priority that waits."""
+        """Return the least virtual time of the priorities with waiting calls."""
         times = [each.virtual_time for each in self.waiting.values() if each.calls]
         return min(times, default=0.0)
 
     def refusal_reason(
         self, call: Arrival, waiting: WaitingCalls, rate: float, now: float
     ) -> RefusalReason | None:
-        """Return why a call should not even wait."""
+        """Return why a call is refused on arrival, or None if it may wait."""
         wait = (
             0.0 if waiting.overloaded(now) else self.calls_ahead(call, waiting) / rate
         )
@@ -200,7 +207,7 @@
         return None
 
     def calls_ahead(self, call: Arrival, waiting: WaitingCalls) -> int:
-        """Count the waiting calls that would be served before it."""
+        """Count the waiting calls that would be served before a call."""
         start_tag = self.shares.start_tag(call)
         return sum(
             each.caller == call.caller or self.shares.start_tag(each) < start_tag
@@ -208,7 +215,7 @@
         )
 
     def evict(self, waiting: WaitingCalls, now: float) -> Refusal:
-        """Give up on a call of whoever has most waiting."""
+        """Remove a call of the caller or key with the most waiting calls."""
         calls = list(waiting.calls.values())
         callers = Counter(each.caller for each in calls)
         keys = Counter(each.key for each in calls if each.key)
@@ -217,7 +224,7 @@
         if keys and keys.most_common(1)[0][1] > most:
             key, most = keys.most_common(1)[0]
             group = [each for each in calls if each.key == key]
-        # The newest would wait longest, unless the newest go first.
+        # Chooses the call that would be served last.
         victim = group[0] if waiting.overloaded(now) else group[-1]
         del waiting.calls[victim.call]
         evenly_spread = most * 2 <= len(calls)
@@ -225,7 +232,7 @@
         return victim, reason
 
     def pop(self, allow: Callable[[Arrival], bool], now: float) -> Arrival | None:
-        """Take out the next call among those allowed."""
+        """Remove and return the next call for which `allow` is true."""
         ready = [item for item in self.waiting.items() if item[1].calls]
         for priority, waiting in sorted(ready, key=lambda item: item[1].virtual_time):
             call = self.next_call(waiting, allow, now)
@@ -241,7 +248,7 @@
     def next_call(
         self, waiting: WaitingCalls, allow: Callable[[Arrival], bool], now: float
     ) -> Arrival | None:
-        """Return the call whose caller and key have had least."""
+        """Return the allowed call with the lowest start tag."""
         sign = -1 if waiting.overloaded(now) else 1
         best, best_rank = None, (float("inf"), 0)
         for place, call in enumerate(waiting.calls.values()):
@@ -251,22 +258,22 @@
         return best
 
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
         for waiting in self.waiting.values():
             if waiting.calls.pop(call, None):
                 return True
         return False
 
     def wait_until(self, call: Arrival) -> float:
-        """Return until when a call may wait."""
-        # The refusal must reach the entry before its own deadline, else the
-        # caller hears "outcome unknown" of a call that was never run.
+        """Return the time until which a call may wait."""
+        # The refusal must reach the entry before the entry's own deadline.
+        # Otherwise the caller is told "outcome unknown" for a call that never ran.
         needed = max(self.durations.answer_time(call.kind), REFUSAL_DELIVERY_SECONDS)
         latest = call.deadline - needed
         return min(latest, call.arrived + self.waiting[call.priority].max_wait)
 
     def expire(self, now: float) -> list[Refusal]:
-        """Take out the calls that waited too long or are too late to answer."""
+        """Remove and return calls that waited too long or would be answered late."""
         refusals = []
         for waiting in self.waiting.values():
             for call in list(waiting.calls.values()):
@@ -284,7 +291,7 @@
 def make_queue(
     settings: AdmissionSettings, durations: Durations, shares: Shares
 ) -> CallQueue:
-    """Return the queue that the settings name."""
+    """Return the queue that the settings select."""
     if settings.queue == "fifo":
         return FifoQueue(settings)
     return FairQueue(settings, durations, shares)
--- a/sequoiaspoke/core/admission/settings.py
+++ b/sequoiaspoke/core/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the admission decisions, with the reason of each default."""
+"""Settings of admission control, with the reason for each default."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 @dataclass(frozen=True)
 class AdmissionSettings:
-    """Settings of the admission decisions."""
+    """Settings of admission control."""
 
     limit: str = option(
         "adaptive",
-        "How many calls run at once: learnt, the published slots, or no limit; the "
-        "last two are baselines to compare with.",
+        "How many calls run at once: adapted to the latency, the published slots, or "
+        "no limit; the last two are baselines for comparison.",
         choices=("adaptive", "fixed", "none"),
     )
     queue: str = option(
         "fair",
-        "In which order calls wait; fifo is the baseline to compare with.",
+        "Order of the waiting calls; fifo is a baseline for comparison.",
         choices=("fair", "fifo"),
     )
     queue_calls: int = option(
         64,
-        "Calls of one priority that wait at most; about six rounds of ten slots, "
-        "more only ages.",
+        "Maximum number of waiting calls of one priority; about six rounds of ten "
+        "slots, more would only wait too long.",
         0,
         100000,
     )
@@ -41,7 +41,8 @@
     tolerance: float = option(
         1.5,
         "Latency at the limit, as a multiple of that at half of it, above which "
-        "the limit falls; chance alone moves the mean of ten calls by a third.",
+        "the limit falls; random variation alone moves the mean of ten calls by a "
+        "third.",
         1.01,
         10,
     )
@@ -53,37 +54,37 @@
     )
     calibration_age: float = option(
         5.0,
-        "Seconds for which a measured latency at half the limit holds; a slower "
-        "upstream is told from a crowded one only by measuring anew.",
+        "Seconds for which a measured latency at half the limit is valid; only a new "
+        "measurement tells a slower upstream from an overloaded one.",
         0.1,
         600,
     )
     shed_hold: float = option(
         1.0,
         "Seconds for which the limit stays below the level at which the upstream "
-        "shed; at one try a second some tenth of a per cent is shed.",
+        "shed; at one try a second about a tenth of a per cent is shed.",
         0,
         60,
     )
     long_factor: float = option(
         5.0,
-        "Duration, as a multiple of the short calls', from which calls are long.",
+        "Duration, as a multiple of that of short calls, above which calls are long.",
         1.1,
         1000,
     )
     warm_up: float = option(
         3.0,
-        "Seconds after its first answer for which the upstream is called cold.",
+        "Seconds after its first answer for which the upstream is reported as cold.",
         0,
         600,
     )
     drain_memory: float = option(
         10.0,
-        "Seconds for which a target whose upstream refused as draining is called "
-        "leaving.",
+        "Seconds for which a target is reported as leaving after its upstream refused "
+        "a call because it is draining.",
         0,
         600,
     )
     long_memory: float = option(
-        10.0, "Seconds after the last short call for which slots are kept.", 0, 600
+        10.0, "Seconds after the last short call for which slots stay free.", 0, 600
     )
--- a/sequoiaspoke/tests/test_admission.py
+++ b/sequoiaspoke/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of what a target's node lets in, keeps waiting and turns away."""
+"""Tests of admission control: starting, queueing and refusing calls."""
 
 from collections import Counter
 from random import Random
@@ -70,9 +70,9 @@
         self.assertEqual([calls[3]], self.release(calls[0], 0.1))
 
     def test_a_draining_target_takes_nothing_new_and_finishes_the_rest(self):
-        """A planned stop begins while one call runs and one waits.
+        """A drain begins while one call runs and one waits.
 
-        Cutting either would lose a foreman's booking to a routine restart.
+        Aborting either would make a planned restart lose calls.
         """
         calls = [self.arrive(0.0) for _ in range(3)]
         self.admission.drain()
@@ -141,9 +141,9 @@
     slots = 1
 
     def test_a_call_that_cannot_be_answered_in_time_is_refused_at_once(self):
-        """A mourner's page has 60 ms left and calls take 50 ms.
+        """A call has 60 ms left, calls take 50 ms, and another one waits already.
 
-        Let in, it would wait, run for nobody, and delay the next in line.
+        If queued, it would run after its caller has gone and delay other calls.
         """
         self.learn(0.05)
         self.arrive(10.0, "b")
@@ -153,11 +153,11 @@
         self.assertIsInstance(self.verdicts[late].error, DeadlineNotRunError)
         self.assertTrue(self.verdicts[late].error.retry_after >= 1.0)
 
-    def test_a_call_whose_time_is_over_is_not_begun(self):
+    def test_a_call_past_its_deadline_is_not_started(self):
         late = self.arrive(5.0, deadline=5.0)
         self.assertEqual(RefusalReason.DEADLINE_TOO_CLOSE, self.reason(late))
 
-    def test_a_waiting_call_is_given_up_on_as_soon_as_it_is_too_late(self):
+    def test_a_waiting_call_is_refused_once_it_would_be_answered_late(self):
         self.learn(0.05)
         self.arrive(10.0)
         waiting = self.arrive(10.0, deadline=10.3)
@@ -167,10 +167,10 @@
         self.assertEqual(RefusalReason.EXPIRED, self.reason(waiting))
 
     def test_a_stream_is_not_refused_for_its_length(self):
-        """A family asks for a recording that plays for a minute.
+        """A stream lasts a minute and its deadline for the response head is 10 s.
 
-        Its rule bounds the time to the answer's head to ten seconds. Held
-        against that by its length, it would be refused whenever a call waits.
+        If the deadline were compared with the duration of the stream, it would
+        be refused whenever another call waits.
         """
         for n in range(5):
             stream = self.arrive(n * 60.0, kind="stream")
@@ -183,10 +183,10 @@
         self.assertEqual([waiting], self.release(running, 409.5))
 
     def test_urgent_calls_are_refused_while_patient_ones_wait(self):
-        """The portal is busy when an archive page is asked for abroad.
+        """Calls of each priority wait for a slot that stays taken.
 
-        The page may come late but must come; a start-of-stream command that
-        waits is worth less than one that goes to another target at once.
+        A patient call may be answered late; an urgent one is worth more if it is
+        refused early and goes to another target.
         """
         self.arrive(0.0)
         kinds = {each: self.arrive(0.0, priority=each) for each in Priority}
@@ -199,9 +199,9 @@
         self.assertIsNone(self.reason(kinds[Priority.PATIENT]))
 
     def test_patient_calls_are_not_starved_by_urgent_ones(self):
-        """Urgent calls come without a pause and there is always one waiting.
+        """Urgent calls arrive continuously, so that one is always waiting.
 
-        Under strict priority the archive page would never be served.
+        Under strict priority the patient call would never be served.
         """
         self.learn(0.05)
         running, now = self.arrive(10.0), 10.0
@@ -213,10 +213,10 @@
             running = started[0]
         self.assertTrue(self.started(page))
 
-    def test_under_standing_overload_the_newest_go_first(self):
-        """Calls come twice as fast as they are answered, for seconds.
+    def test_under_persistent_overload_the_newest_go_first(self):
+        """Calls arrive at twice the completion rate for seconds.
 
-        Oldest first, each would be answered just as its caller gives up.
+        In order of arrival, each would be answered about when its caller times out.
         """
         self.learn(0.05)
         running, now, waited = self.arrive(10.0), 10.0, []
@@ -234,19 +234,19 @@
 class FairnessTests(AdmissionCase):
     slots = 1
 
-    def test_a_flood_costs_the_caller_that_makes_it(self):
-        """One clerk's script sends as much as the queue holds.
+    def test_a_burst_costs_the_caller_that_sends_it(self):
+        """One caller sends more calls than the queue holds.
 
-        Every other member would be refused although they ask for little.
+        In order of arrival, callers with few calls would be refused as well.
         """
         self.learn(0.05)
         self.arrive(10.0, "script")
         flood = [self.arrive(10.0, "script") for _ in range(200)]
         member = self.arrive(10.0, "member")
         self.assertIsNone(self.reason(member))
-        given_up = {self.reason(call) for call in flood} - {None}
+        reasons = {self.reason(call) for call in flood} - {None}
         self.assertTrue(
-            given_up <= {RefusalReason.OVER_SHARE, RefusalReason.WAIT_TOO_LONG}
+            reasons <= {RefusalReason.OVER_SHARE, RefusalReason.WAIT_TOO_LONG}
         )
         self.assertEqual([member], self.release(1 + 20, 10.05))
 
@@ -259,7 +259,7 @@
         self.assertEqual([other], self.release(running, 10.05))
 
     def test_a_caller_is_charged_what_its_call_took(self):
-        """A call takes twenty times as long as others of its kind did."""
+        """A call takes twenty times as long as its kind's mean duration."""
         self.learn(0.05)
         how = {"priority": Priority.PATIENT}
         running = self.arrive(10.0, "slow", **how)
@@ -295,18 +295,18 @@
     slots = 10
 
     def test_long_work_leaves_slots_for_short(self):
-        """Archive pages that take seconds come in while the portal is used.
+        """Long calls arrive while short calls are in use.
 
-        They would hold all ten slots, and each look at the portal would wait
-        for one of them to end.
+        They would hold all ten slots, and each short call would wait for one of
+        them to finish.
         """
         self.learn(0.02, "portal", times=40)
         self.learn(2.0, "archive", times=8)
         self.release(self.arrive(99.9, kind="portal"), 99.92)
         for _ in range(20):
             self.arrive(100.0, "family", kind="archive", priority=Priority.PATIENT)
-        look = self.arrive(100.0, "member", kind="portal")
-        self.assertTrue(self.started(look))
+        short = self.arrive(100.0, "member", kind="portal")
+        self.assertTrue(self.started(short))
 
     def test_without_short_work_long_work_has_every_slot(self):
         self.learn(0.02, "portal", times=40)
@@ -324,31 +324,31 @@
                 limit.answered("k", latency(concurrency), concurrency, now)
         return now
 
-    def test_a_target_that_is_not_crowded_gets_its_slots(self):
+    def test_a_target_that_is_not_overloaded_gets_its_slots(self):
         limit = AdaptiveLimit(SETTINGS, 10)
         self.drive(limit, lambda concurrency: 0.05)
         self.assertEqual(10, limit.current())
 
-    def test_a_crowded_target_runs_fewer(self):
-        """A sick VM bears four calls at once but publishes ten slots.
+    def test_an_overloaded_target_runs_fewer(self):
+        """A degraded VM can run four calls at once but publishes ten slots.
 
-        Given ten, it would answer each so late that all their callers are gone.
+        With ten concurrent calls, it would answer all of them after their deadlines.
         """
         limit = AdaptiveLimit(SETTINGS, 10)
         self.drive(limit, lambda concurrency: 0.05 * max(1, concurrency / 4) ** 2)
         self.assertTrue(3 <= limit.value <= 7, limit.value)
 
     def test_a_slow_target_keeps_its_slots(self):
-        """The service behind the target becomes ten times slower.
+        """A dependency of the target becomes ten times slower.
 
-        Lowering the limit would not speed it up, only serve fewer callers.
+        Lowering the limit would not speed it up but serve fewer callers.
         """
         limit = AdaptiveLimit(SETTINGS, 10)
         now = self.drive(limit, lambda concurrency: 0.05)
         self.drive(limit, lambda concurrency: 0.5, now=now)
         self.assertTrue(limit.value >= 9, limit.value)
 
-    def test_shedding_lowers_the_limit_and_an_outage_is_soon_forgotten(self):
+    def test_shedding_lowers_the_limit_and_it_recovers_after_an_outage(self):
         limit = AdaptiveLimit(SETTINGS, 10)
         now = self.drive(limit, lambda concurrency: 0.05)
         for _ in range(40):
