--- a/sequoiaspoke/core/membership/__init__.py
+++ b/sequoiaspoke/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs and zones are there."""
+"""The VMs and zones that a node knows of."""
--- a/sequoiaspoke/core/membership/vmlist.py
+++ b/sequoiaspoke/core/membership/vmlist.py
@@ -1,4 +1,4 @@
-"""The lagging VM list, and the order of a zone's nodes that follows from it."""
+"""The platform's VM list, which may lag, and the order of a zone's nodes."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Lists that are remembered to tell a peer only what changed since its own.
+# Lists kept to send a peer only the changes since the list that it holds.
 HISTORY_LIMIT = 8
-MAX_LIST_BYTES = 8_000_000  # bytes once inflated
+MAX_LIST_BYTES = 8_000_000  # after decompression
 
 
 def rank_key(*words: str) -> bytes:
-    """Return the place of a name in a rendezvous order."""
+    """Return the sort key of a name in a rendezvous hashing order."""
     return hashlib.blake2b("|".join(words).encode(), digest_size=8).digest()
 
 
 class VmView:
-    """Holds the newest VM list; an older revision is ignored."""
+    """Holds the newest VM list and the order of the zone's nodes."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.name = name
@@ -37,11 +37,11 @@
         self.zone_order: list[str] = [name]
 
     def offer(self, vms: VmList) -> bool:
-        """Take a list if it is newer than the one held."""
+        """Install a list if it is newer than the one held; return whether it was."""
         if vms.revision <= self.revision:
             return False
         self.revision = vms.revision
-        # Lists that are remembered share the VMs that did not change.
+        # The lists in the history share the objects of unchanged VMs.
         held = self.vms
         self.vms = {
             vm.name: held[vm.name] if held.get(vm.name) == vm else vm
@@ -54,8 +54,8 @@
         return True
 
     def _zone_order(self) -> list[str]:
-        # The list lags: this node may be missing from it, or shown as leaving
-        # under the name it was restarted with. It counts itself in all the same.
+        # The list may lag: this node may be missing, or shown as leaving under the
+        # name with which it was restarted. It is included in any case.
         names = {
             vm.name
             for vm in self.vms.values()
@@ -65,7 +65,7 @@
         return sorted(names, key=lambda name: rank_key(self.zone, name))
 
     def rank(self) -> int:
-        """Return this node's place in the watch order of its zone."""
+        """Return this node's position in the watch order of its zone."""
         return self.zone_order.index(self.name)
 
     def predecessors(self) -> list[str]:
@@ -81,7 +81,7 @@
         ]
 
     def answer(self, revision: int) -> VmsAnswer:
-        """Tell a peer what changed since the revision that it holds."""
+        """Return the changes since a peer's revision, or the whole list."""
         base = self.history.get(revision)
         if base is None:
             return VmsAnswer(self.revision, 0, _pack(self.vms.values()))
@@ -90,7 +90,7 @@
         return VmsAnswer(self.revision, revision, _pack(changed), removed)
 
     def apply(self, answer: VmsAnswer) -> bool:
-        """Take a peer's answer if it is newer and its base is the list held.
+        """Apply a peer's answer if it is newer and based on the list held.
 
         Raises
         ------
@@ -119,7 +119,7 @@
     try:
         content = inflater.decompress(packed, MAX_LIST_BYTES)
     except zlib.error as error:
-        raise DocumentError(f"VM list does not inflate: {error}") from error
+        raise DocumentError(f"cannot decompress VM list: {error}") from error
     if not inflater.eof:
-        raise DocumentError("VM list is cut short or too large")
+        raise DocumentError("VM list is truncated or too large")
     return codec.decode_json(content, tuple[Vm, ...])
