--- a/sequoiaspoke/core/routing/__init__.py
+++ b/sequoiaspoke/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where calls go and when they are tried again."""
+"""Routing: choice of services and targets, retries and direct connections."""
--- a/sequoiaspoke/core/routing/balancer.py
+++ b/sequoiaspoke/core/routing/balancer.py
@@ -1,10 +1,11 @@
 """Choose the target of each attempt.
 
-Many nodes choose for the same targets without talking to each other. Taking the
-least loaded by anyone's report makes them all run to the same one; taking turns
-ignores that one target is slow and piles work up at it. The better of two
-random targets by own calls in flight and aged reports avoids both: the herd is
-split by chance, and a slow target holds its calls longer and so draws fewer.
+Many nodes choose among the same targets without coordination. If each took the
+least loaded one by its reports, all would pick the same target; round robin
+ignores slow targets and piles up work at them. Choosing the better of two random
+targets, by the node's own calls in flight and by aged load reports, avoids both:
+the random draw spreads the nodes, and a slow target holds its calls longer and
+so gets fewer.
 """
 
 from __future__ import annotations
@@ -33,16 +34,17 @@
     from sequoiaspoke.core.rules.model import Endpoint
 
 FAILURES = frozenset({Outcome.FAILED, Outcome.TIMED_OUT})
-NO_TARGET_RETRY_AFTER = 1.0  # VM lists and probes change the answer within that
+# Within this time a new VM list or a recovery probe may make a target available.
+NO_TARGET_RETRY_AFTER = 1.0
 
 
 class Balancer(ABC):
-    """Choose targets and learn from how their calls end.
+    """Choose targets and track the outcomes of their calls.
 
     Attributes
     ----------
     chosen : Counter of ChoiceReason
-        Choices so far by reason.
+        Number of choices by reason.
     """
 
     def __init__(self, settings: RoutingSettings, zone: str, rng: Random) -> None:
@@ -69,7 +71,7 @@
         Parameters
         ----------
         exclude : frozenset of str
-            Targets that earlier attempts of the call went to.
+            Targets of earlier attempts of the same call.
 
         Raises
         ------
@@ -100,7 +102,7 @@
         context: RouteContext,
         now: float,
     ) -> Choice:
-        """Return one of the targets that may take the call."""
+        """Return one of the eligible targets."""
 
     def probe(
         self,
@@ -109,7 +111,7 @@
         exclude: frozenset[str],
         now: float,
     ) -> Choice | None:
-        """Return an ejected target whose recovery this call may test."""
+        """Return an ejected target that this call may probe, or None."""
         if not context.may_probe:
             return None
         for each in endpoints:
@@ -122,7 +124,7 @@
         return None
 
     def is_leaving(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether a target gets no new work."""
+        """Return whether a target is leaving and gets no new calls."""
         if endpoint.vm in self.leaving:
             return True
         return self.load.state(endpoint.target, now) is UpstreamState.LEAVING
@@ -135,13 +137,13 @@
     def update_endpoints(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> None:
-        """Warm up targets that joined a service already in use here."""
+        """Begin slow start of added targets and forget the removed ones."""
         known = self.known_endpoints.get(service)
         if known is endpoints:
             return
         self.known_endpoints[service] = endpoints
         if known is None:
-            # This node is new, not the targets: it knows nothing of any.
+            # The service is new to this node, but its targets need not be new.
             return
         before = {each.target for each in known}
         names = {each.target for each in endpoints}
@@ -151,23 +153,23 @@
             self.forget(name)
 
     def retain(self, services: frozenset[str]) -> None:
-        """Forget the services no longer in force, and their targets."""
+        """Forget all services but these, and their targets."""
         for service in self.known_endpoints.keys() - services:
             for each in self.known_endpoints.pop(service):
                 self.forget(each.target)
 
     def forget(self, target: str) -> None:
-        """Drop what was learnt of a target that is gone."""
+        """Drop the state of a target that was removed."""
         self.load.forget(target)
         self.ejector.forget(target)
         self.slow_start.forget(target)
 
     def set_leaving(self, vms: frozenset[str]) -> None:
-        """Replace the VMs that the platform's list shows as leaving."""
+        """Set the VMs that the platform's list shows as leaving."""
         self.leaving = vms
 
     def started(self, target: str, now: float) -> None:  # noqa: ARG002
-        """Note that an attempt goes out to a target."""
+        """Record that an attempt is sent to a target."""
         self.load.target_load(target).in_flight += 1
 
     def finished(
@@ -177,7 +179,7 @@
         latency: float,
         now: float,
     ) -> None:
-        """Note how an attempt ended; once for each `started`."""
+        """Record the outcome of an attempt, once for each `started`."""
         load = self.load.target_load(target)
         load.in_flight = max(0, load.in_flight - 1)
         if outcome in FAILURES:
@@ -194,7 +196,7 @@
             self.slow_start.begin(target, now)
 
     def report(self, target: str, report: LoadReport, now: float) -> None:
-        """Take in what a target's node says of its load."""
+        """Record a load report of a target's home node."""
         before = self.load.report(target, report, now)
         if report.state is UpstreamState.COLD or (
             before is UpstreamState.DOWN and report.state is UpstreamState.READY
--- a/sequoiaspoke/core/routing/deadline.py
+++ b/sequoiaspoke/core/routing/deadline.py
@@ -1,12 +1,11 @@
-"""Carry a call's deadline and depth from node to node.
-
-A chain of services answers a caller that waits for a bounded time. Without a
-deadline that travels and shrinks, the far end of a chain works on calls whose
-callers have gone; without a depth that travels, two rules that point at each
-other fill the fleet with one call. The deadline travels as the remaining time,
-since the clocks of two VMs differ by more than a call takes; each hop takes off
-a margin for the way back, so that the inner node gives up before the outer one
-and its typed answer arrives.
+"""Propagate the deadline and depth of a call from node to node.
+
+Without a propagated deadline, the last services of a call chain work on calls
+whose callers have gone. Without a propagated depth, two rules that point at each
+other let one call circulate and occupy slots on every node. The deadline is sent
+as the remaining time, because the clocks of two VMs may differ by more than the
+duration of a call. Each hop subtracts a margin for the way back, so that the
+inner node times out before the outer one and its typed error arrives.
 """
 
 from __future__ import annotations
@@ -23,16 +22,16 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """How far a call has come.
+    """Deadline, attempt number and depth of a call.
 
     Attributes
     ----------
     deadline : float
         Time on this node's clock at which the caller stops waiting.
     attempt : int
-        Greatest number of an attempt that any node before tried it with.
+        Highest attempt number used by this or any earlier node of the chain.
     depth : int
-        Nodes that callers handed it to, this one included.
+        Number of entries that the call has passed, this one included.
     """
 
     deadline: float
@@ -44,11 +43,11 @@
         return self.deadline - now
 
     def remaining_ms(self, now: float, margin: float) -> int:
-        """Return the milliseconds that the next node gets."""
+        """Return the milliseconds left for the next node."""
         return max(0, math.floor((self.deadline - now - margin) * 1000))
 
     def for_attempt(self, attempt: int) -> Progress:
-        """Return the progress to send along with an attempt of this node."""
+        """Return the progress to send with an attempt of this node."""
         return Progress(self.deadline, max(self.attempt, attempt), self.depth)
 
 
@@ -60,19 +59,19 @@
     attempt: int = 1,
     depth: int = 0,
 ) -> Progress:
-    """Begin a call that a caller, or an upstream within a chain, hands over.
+    """Return the progress of a call that arrives at an entry.
 
     Parameters
     ----------
     timeout : float
-        Seconds that the rule allows; a carried deadline only shortens it.
+        Seconds that the rule allows; a propagated deadline can only shorten it.
 
     Raises
     ------
     TooDeepError
-        The call entered more nodes than the depth limit allows.
+        The call passed more nodes than the depth limit allows.
     DeadlineNotRunError
-        Nothing is left of the carried deadline.
+        The propagated deadline has passed.
     """
     if depth >= settings.depth_limit:
         raise TooDeepError(f"depth {depth + 1} exceeds {settings.depth_limit}")
--- a/sequoiaspoke/core/routing/ejection.py
+++ b/sequoiaspoke/core/routing/ejection.py
@@ -1,17 +1,17 @@
-"""Take a target out of use by the failures of real calls, and let it back.
-
-Health pages of the upstreams lag or mislead, so they decide nothing here. A
-target that answers no call looks idle to a balancer by calls in flight and
-attracts most of the work; failures in a row eject it. Ejection ends by a
-recovery probe: one real, idempotent call with an attempt to spare. A health
-probe would cost the upstream 6 ms each time and a connection 1 ms, paid by
-2,000 nodes for every target; a real call costs nothing extra when it succeeds,
-and a retry when it does not. Ejections double up to a cap so that a dead target
-costs each node two probes a minute.
-
-A fault in the network of this node makes every target look dead. The floor
-keeps a part of the service in use then, else one node's fault would look to its
-callers like an outage of the whole service.
+"""Eject targets after failures of real calls, and restore them by a probe.
+
+The upstreams' health pages are not used, since they lag and can be wrong. A
+target whose calls fail fast looks idle to a balancer that counts calls in flight
+and attracts most of the load, so consecutive failures eject it. A recovery probe
+ends the ejection: one real, idempotent call with an attempt left. A health probe
+would cost the upstream 6 ms and a connection 1 ms each time, from each of 2,000
+nodes for every target. A real call costs nothing extra if it succeeds, and a
+retry if it fails. Ejection times double up to a cap, at which a dead target costs
+each node two probes a minute.
+
+A fault in this node's own network makes every target look dead. A part of the
+service's targets (`eject_floor`) therefore always stays in use, since one node's
+fault would otherwise look like an outage of the whole service to its callers.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     from sequoiaspoke.core.routing.settings import RoutingSettings
 
 MAX_DOUBLINGS = 10
-MAX_DOWN_SHARE = 0.5  # part of a service's targets that is believed to be down
+MAX_DOWN_SHARE = 0.5  # with more targets reported down, the reports are ignored
 
 
 @dataclass
 class FailureRecord:
-    """What is remembered of a target's failures."""
+    """Failures and ejection state of a target."""
 
     failures: int = 0
     ejections: int = 0
@@ -41,14 +41,14 @@
 
 
 class Ejector:
-    """Decide which targets are out of use.
+    """Decide which targets are ejected.
 
     Attributes
     ----------
     ejections : int
-        Ejections so far.
+        Number of ejections.
     probes : int
-        Recovery probes so far.
+        Number of recovery probes.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
@@ -58,7 +58,7 @@
         self.probes = 0
 
     def succeeded(self, target: str) -> bool:
-        """Note an answer; return whether it brings the target back."""
+        """Record an answer; return whether it ends an ejection."""
         record = self.records.get(target)
         if record is None:
             return False
@@ -70,7 +70,7 @@
         return False
 
     def failed(self, target: str, now: float) -> None:
-        """Note a call that got no answer."""
+        """Record a call without an answer, which may eject the target."""
         record = self.records.setdefault(target, FailureRecord())
         record.failures += 1
         if record.probing:
@@ -79,13 +79,13 @@
             self.eject(record, now)
 
     def inconclusive(self, target: str) -> None:
-        """Note a call whose end says nothing of the target."""
+        """Record a call whose outcome says nothing about the target."""
         record = self.records.get(target)
         if record:
             record.probing = False
 
     def eject(self, record: FailureRecord, now: float) -> None:
-        """Take a target out of use for the next ejection time."""
+        """Eject a target for a time that doubles with each ejection."""
         doublings = min(record.ejections, MAX_DOUBLINGS)
         seconds = self.settings.eject_time * 2**doublings
         record.ejected = True
@@ -95,35 +95,35 @@
         self.ejections += 1
 
     def is_ejected(self, target: str) -> bool:
-        """Return whether a target is out of use, probes aside."""
+        """Return whether a target is ejected, even if a probe is due."""
         record = self.records.get(target)
         return record is not None and record.ejected
 
     def ejected(self) -> tuple[str, ...]:
-        """Return the targets out of use, in the order of their names."""
+        """Return the ejected targets, sorted by name."""
         return tuple(sorted(filter(self.is_ejected, self.records)))
 
     def probe_due(self, target: str, now: float) -> bool:
-        """Return whether one call should try the target again."""
+        """Return whether a call should probe the target."""
         record = self.records.get(target)
         if record is None or not record.ejected or record.probing:
             return False
         return now >= record.ejected_until
 
     def probe(self, target: str) -> None:
-        """Note that a recovery probe was sent."""
+        """Record that a recovery probe is sent."""
         self.records[target].probing = True
         self.probes += 1
 
     def usable(self, targets: Sequence[str], down: frozenset[str]) -> frozenset[str]:
-        """Return the targets in use, never fewer than the floor.
+        """Return the targets in use, at least the share `eject_floor` of them.
 
         Parameters
         ----------
         down : frozenset of str
-            Targets whose nodes say that they are down. Said of more than half,
-            it is more likely a fault of the checks than of the targets, and
-            only failures of calls decide.
+            Targets that their nodes report as down. If these are more than half,
+            the checks are more likely at fault than the targets, and only the
+            failures of calls count.
         """
         if len(down) > MAX_DOWN_SHARE * len(targets):
             down = frozenset()
@@ -137,10 +137,10 @@
         return frozenset(usable | set(rest[: minimum - len(usable)]))
 
     def ejection_rank(self, target: str) -> tuple[int, float, str]:
-        """Return how far out of use a target is, for putting some back."""
+        """Return the sort key by which ejected targets are put back, lowest first."""
         record = self.records.get(target, FailureRecord())
         return (record.ejections, record.ejected_until, target)
 
     def forget(self, target: str) -> None:
-        """Drop a target that is gone."""
+        """Drop the record of a target that was removed."""
         self.records.pop(target, None)
--- a/sequoiaspoke/core/routing/grants.py
+++ b/sequoiaspoke/core/routing/grants.py
@@ -1,4 +1,4 @@
-"""Messages by which a home grants direct connections to its upstream."""
+"""Messages between entry and home about grants of direct connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DenyReason(StrEnum):
-    """Why there is no grant; each has a counter."""
+    """Reason to deny a grant; each has a counter."""
 
     CONTENTION = "calls-wait"
     SHARE = "granted-share-used-up"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """An entry asks for a grant, or for more time on the one it holds.
+    """An entry requests a grant or the renewal of one.
 
     Attributes
     ----------
@@ -26,7 +26,7 @@
     in_use : int
         Direct calls that the entry has in flight.
     used : int
-        Direct calls begun since it last asked.
+        Direct calls started since its last request.
     """
 
     entry: str
@@ -37,12 +37,14 @@
 
 @dataclass(frozen=True)
 class Granted:
-    """The entry may run so many idempotent calls at once directly.
+    """The entry may run idempotent calls directly, bypassing the home.
 
     Attributes
     ----------
+    connections : int
+        Maximum number of concurrent direct calls.
     lease : float
-        Seconds, counted from when the entry sent its question.
+        Seconds of validity, counted from when the entry sent its request.
     """
 
     grant: int
@@ -52,14 +54,14 @@
 
 @dataclass(frozen=True)
 class Denied:
-    """The entry begins no direct call, or no further one."""
+    """The entry must start no direct call, or no further one."""
 
     reason: DenyReason
 
 
 @dataclass(frozen=True)
 class Returned:
-    """The entry gives a grant back; `in_use` calls still run."""
+    """The entry returns a grant; `in_use` direct calls still run."""
 
     entry: str
     grant: int
--- a/sequoiaspoke/core/routing/grants_entry.py
+++ b/sequoiaspoke/core/routing/grants_entry.py
@@ -1,12 +1,12 @@
 """Use granted direct connections at an entry.
 
-A direct call saves the home's hop, about 0.65 ms of a call's median. It is only
-worth a lease to a target that is called steadily, since asking costs a message
-of its own. The entry counts the lease from when it *sent* its question and the
-home from when it answered, so the entry always stops first: an answer that took
-long, or a process that was paused in between, leaves it with less time, never
-with more than the home allows. A call that begins in time may end after it; the
-home counts its slot until it hears of its end.
+A direct call saves the home's hop, about 0.65 ms of the median latency. A lease
+only pays for a target that is called steadily, since each request is an extra
+message. The entry counts the lease from when it *sent* the request and the home
+from when it answered, so the entry always stops first: a late answer, or a pause
+of the process in between, leaves it less time and never more than the home
+allows. A call that starts within the lease may end after it; the home counts its
+slot until it is told of the end.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.routing.settings import RoutingSettings
 
-RATE_SECONDS = 1.0  # over which steady use is counted
+RATE_SECONDS = 1.0  # window in which calls are counted
 DIRECT, HOME = "direct", "home"
-RENEW_FRACTION = 0.5  # part of the lease after which it is renewed
+RENEW_FRACTION = 0.5  # of the lease, after which it is renewed
 
 
 @dataclass
 class HeldGrant:
-    """What an entry holds, or is about to hold, at one target."""
+    """The grant that an entry holds or requests at one target, and its use."""
 
     grant: int = 0
     connections: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Question:
-    """A message for the home of a target."""
+    """A message to the home of a target."""
 
     target: str
     message: Ask | Returned
@@ -51,12 +51,12 @@
 
 
 class GrantEntry:
-    """Decide which calls go directly, and what to ask the homes.
+    """Decide which calls go directly, and request, renew and return grants.
 
     Attributes
     ----------
     ways : Counter of str
-        Calls that could have gone directly, by the way they went.
+        Number of calls by path, `direct` or `home`.
     """
 
     def __init__(self, settings: RoutingSettings, name: str) -> None:
@@ -66,11 +66,11 @@
         self.ways: Counter[str] = Counter()
 
     def held_at(self, target: str) -> HeldGrant:
-        """Return what is held at a target."""
+        """Return the state of the grant at a target."""
         return self.held_grants.setdefault(target, HeldGrant())
 
     def take(self, target: str, deadline: float, now: float) -> int:
-        """Return the grant under which an idempotent call goes, or 0."""
+        """Return the grant for a direct idempotent call, or 0 to use the home."""
         held = self.held_at(target)
         self.count(held, now)
         free = held.in_use < held.connections
@@ -84,14 +84,14 @@
         return held.grant
 
     def count(self, held: HeldGrant, now: float) -> None:
-        """Count a call towards steady use."""
+        """Count a call to find out whether a target is called steadily."""
         if now - held.counted_from > RATE_SECONDS:
             held.counted_from = now
             held.calls = 0
         held.calls += 1
 
     def done(self, target: str, grant: int) -> Question | None:
-        """Note the end of a direct call; the home may wait to hear of it."""
+        """Record the end of a direct call; return a message if the home needs one."""
         held = self.held_at(target)
         if held.grant != grant:
             return Question(target, Returned(self.name, grant))
@@ -101,14 +101,14 @@
         return None
 
     def give_back(self, target: str, held: HeldGrant) -> Question:
-        """Return what is no longer used."""
+        """Return a message that gives the unused slots of a grant back."""
         message = Returned(self.name, held.grant, held.in_use)
         if held.in_use == 0:
             held.grant = 0
         return Question(target, message)
 
     def due_questions(self, now: float) -> list[Question]:
-        """Return what to ask the homes now."""
+        """Return the messages to send to homes now."""
         questions = []
         for target, held in self.held_grants.items():
             question = self.next_question(target, held, now)
@@ -119,7 +119,7 @@
     def next_question(
         self, target: str, held: HeldGrant, now: float
     ) -> Question | None:
-        """Return what to ask one home now."""
+        """Return the message to send to one home now, or None."""
         if held.awaiting_answer:
             return None
         if not held.grant:
@@ -137,7 +137,7 @@
         return self.ask(target, held, now)
 
     def ask(self, target: str, held: HeldGrant, now: float) -> Question:
-        """Ask for a grant, or for more time on it."""
+        """Request a grant or the renewal of the one held."""
         message = Ask(self.name, held.grant, held.in_use, held.used)
         held.awaiting_answer = True
         held.asked_at = now
@@ -145,10 +145,10 @@
         return Question(target, message, now)
 
     def answered(self, question: Question, answer: GrantAnswer) -> Question | None:
-        """Take the answer to a question of `due`.
+        """Apply the answer to a question of `due_questions`.
 
-        One that comes after the question was given up on is not used: counted
-        from a later question its lease would outlast the home's.
+        An answer that arrives after its question has failed is not used. If its
+        lease were counted from a later question, it would outlast the home's.
         """
         target = question.target
         held = self.held_at(target)
@@ -166,7 +166,7 @@
         return self.recalled(target)
 
     def return_unused(self, target: str, answer: GrantAnswer) -> Question | None:
-        """Give back a grant that is not used, unless it is the one held."""
+        """Return a message that gives back a grant other than the one held."""
         if not isinstance(answer, Granted):
             return None
         if answer.grant == self.held_at(target).grant:
@@ -174,12 +174,12 @@
         return Question(target, Returned(self.name, answer.grant))
 
     def failed(self, target: str) -> Question | None:
-        """Note that a question got no answer; the grant is not prolonged."""
+        """Record that a question got no answer, and stop using the grant."""
         self.held_at(target).awaiting_answer = False
         return self.recalled(target)
 
     def recalled(self, target: str) -> Question | None:
-        """Begin no further direct call at a target."""
+        """Start no further direct call to a target, and give unused slots back."""
         held = self.held_at(target)
         held.connections = 0
         held.valid_until = float("-inf")
@@ -188,7 +188,7 @@
         return self.give_back(target, held)
 
     def forget(self, target: str) -> None:
-        """Drop a target that is gone and has no direct call in flight."""
+        """Drop a removed target unless it has direct calls in flight."""
         held = self.held_grants.get(target)
         if held and not held.in_use:
             del self.held_grants[target]
--- a/sequoiaspoke/core/routing/grants_home.py
+++ b/sequoiaspoke/core/routing/grants_home.py
@@ -1,17 +1,17 @@
-"""Grant direct connections to this home's upstream, and take them back.
-
-An entry that calls a target steadily pays the home's hop on every call only to
-be told that there is room. While there is room, the home lends it a few slots
-for a second at a time, for idempotent calls; the lent slots count as taken, so
-that the upstream's limit holds exactly. As soon as a call has to wait, nothing
-is lent any more: slots held idle by one entry while another's call waits would
-be unfair, and the fair queue can only order calls that pass it. After that the
-home lends nothing for some seconds, else lending and recalling would alternate
-with every burst.
-
-What is lent comes back when the entry returns it. If the entry has died, or the
-message is lost, it comes back when the lease and the longest direct call are
-over, so a lost grant never costs a slot for good and no direct call begins more
+"""Grant direct connections to this home's upstream, and recall them.
+
+Every call through the home costs a hop, even if slots are free. While they are,
+the home grants a few slots to an entry that calls the target steadily, for a
+second at a time and for idempotent calls only. Granted slots count as taken, so
+that the upstream's limit holds exactly. When a call has to wait, grants end: it
+would be unfair if one entry held idle slots while another's call waits, and the
+fair queue can only order calls that pass it. The home then grants nothing for a
+while (`grant_pause`), since otherwise each burst would cause grants and recalls
+in turn.
+
+Slots become free when the entry returns them. If the entry died or its message
+was lost, they become free when the lease and the longest direct call are over.
+So a lost grant never costs a slot permanently, and no direct call starts more
 than a lease after a drain.
 """
 
@@ -37,7 +37,7 @@
 
 @dataclass
 class GrantedSlots:
-    """Slots that an entry holds."""
+    """Slots granted to an entry."""
 
     entry: str
     slots: int
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """What the home's admission says of its slots.
+    """The state of the home's slots.
 
     Attributes
     ----------
     limit : int
-        Calls that the target now runs at once, granted ones included.
+        Current limit of concurrent calls, granted slots included.
     free : int
         Slots that neither a call nor a grant holds.
     waiting : int
@@ -64,14 +64,14 @@
 
 
 class GrantHome:
-    """Lend slots of one target.
+    """Grant slots of one target to entries.
 
     Attributes
     ----------
     denied : Counter of DenyReason
-        Questions answered without a grant.
+        Number of denied requests by reason.
     recalls : int
-        Grants taken back before their lease was over.
+        Number of grants recalled before their lease was over.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
@@ -85,11 +85,11 @@
 
     @property
     def reserved(self) -> int:
-        """Return the slots that admission must count as taken."""
+        """Return the number of slots that admission must count as taken."""
         return sum(each.slots for each in self.granted.values())
 
     def ask(self, ask: Ask, capacity: Capacity, now: float) -> GrantAnswer:
-        """Answer an entry's question."""
+        """Answer an entry's request for a grant or its renewal."""
         reason = self.denial_reason(capacity, now)
         if reason is DenyReason.CONTENTION:
             self.pause(now)
@@ -109,7 +109,7 @@
         return Granted(number, slots, self.settings.grant_lease)
 
     def denial_reason(self, capacity: Capacity, now: float) -> DenyReason | None:
-        """Return why nothing at all is lent now."""
+        """Return why no slots are granted now, or None if they may be."""
         if self.closed:
             return DenyReason.DRAINING
         if capacity.waiting or now < self.paused_until:
@@ -117,54 +117,54 @@
         return None
 
     def renew(self, ask: Ask, reason: DenyReason | None, now: float) -> GrantAnswer:
-        """Prolong a grant, or take it back."""
+        """Renew a grant or recall it."""
         granted = self.granted.get(ask.grant)
         if granted is None or granted.entry != ask.entry:
             return self.deny(DenyReason.UNKNOWN)
         if reason:
-            # The slots stay counted until the entry tells what it still uses:
-            # since it asked, it may have begun more calls.
+            # The slots stay counted until the entry reports what it still uses,
+            # because it may have started more calls since its request.
             self.recalls += 1
             return self.deny(reason)
         granted.expires_at = now + self.settings.grant_lease
         return Granted(ask.grant, granted.slots, self.settings.grant_lease)
 
     def grantable_slots(self, capacity: Capacity) -> int:
-        """Return how many more slots may be lent."""
+        """Return how many more slots may be granted."""
         return int(self.settings.grant_share * capacity.limit) - self.reserved
 
     def deny(self, reason: DenyReason) -> Denied:
-        """Count and return a denial."""
+        """Count a denial and return it."""
         self.denied[reason] += 1
         return Denied(reason)
 
     def pause(self, now: float) -> None:
-        """Lend nothing for a while; holders hear it when they renew."""
+        """Grant nothing for a while; current grants end with their next renewal."""
         self.paused_until = now + self.settings.grant_pause
 
     def close(self) -> None:
-        """Lend nothing any more, since the target leaves or moves."""
+        """Grant nothing from now on, since the target is leaving or moving."""
         self.closed = True
 
     def must_recall(self, capacity: Capacity, now: float) -> bool:
-        """Return whether holders that wait for a renewal must hear at once."""
+        """Return whether pending renewals must be answered at once."""
         return bool(self.granted) and self.denial_reason(capacity, now) is not None
 
     def returned(self, message: Returned) -> None:
-        """Take back the slots of a grant, save those still in use."""
+        """Free the slots of a returned grant except those still in use."""
         granted = self.granted.get(message.grant)
         if granted and granted.entry == message.entry:
             self.shrink(message.grant, message.in_use)
 
     def shrink(self, grant: int, in_use: int) -> None:
-        """Keep only the slots in use counted as taken."""
+        """Reduce a grant to the slots in use and drop it when there are none."""
         granted = self.granted[grant]
         granted.slots = min(granted.slots, in_use)
         if granted.slots <= 0:
             del self.granted[grant]
 
     def expire(self, now: float) -> None:
-        """Take back what entries that are gone hold."""
+        """Drop grants of entries that neither renewed nor returned them in time."""
         longest = self.settings.grant_call
         for number, granted in list(self.granted.items()):
             if now > granted.expires_at + longest:
--- a/sequoiaspoke/core/routing/load.py
+++ b/sequoiaspoke/core/routing/load.py
@@ -1,18 +1,18 @@
-"""Estimate how busy each target is from what this node knows.
-
-A node sees its own calls exactly and the rest of a target's load only through
-reports that ride on answers. A report of the state 10 s ago, taken at its word,
-sends all nodes to the target that was idle then, and back. So its excess over
-the mean of the service fades with age until only the own calls in flight
-decide, which are right by themselves. The calls of this node that a report
-contains are taken out of it, else they would count twice.
-
-A report may also be older than it says, where figures lag. The latency of this
-node's calls is never old: a target whose answers take longer than the service's
-mean counts as fuller in proportion, within bounds that one odd call can't leave,
-and a report's excess counts half. With whole trust, reports that lag by 10 s
-cost 5 in 1,000 calls at nine tenths of the capacity and triple the p99; with
-half of it, none.
+"""Estimate how busy each target is.
+
+A node knows its own calls in flight exactly and the rest of a target's load only
+from load reports in answers. If nodes trusted a report that is 10 s old, all of
+them would move to the target that was idle then, and back. So the difference
+between a report and the mean of the service decays with the report's age, until
+only the node's own calls in flight count. The calls of this node are subtracted
+from a report, since they would count twice otherwise.
+
+A report may also be older than it appears, when its figures lag. The latency of
+this node's own calls does not lag. A target that answers more slowly than the
+service's mean therefore counts as more loaded in proportion, within bounds that
+limit the effect of a single outlier, and a new report counts by half. With full
+weight, reports that lag by 10 s lost 5 in 1,000 calls at nine tenths of the
+capacity and tripled the p99; with half of it, no calls were lost.
 """
 
 from __future__ import annotations
@@ -29,16 +29,24 @@
     from sequoiaspoke.core.rules.model import Endpoint
 
 
-REPORT_WEIGHT = 0.5  # in a report that has just come
-LATENCY_WEIGHT = 0.1  # of the newest answer, at least
+REPORT_WEIGHT = 0.5  # of a report that has just arrived
+LATENCY_WEIGHT = 0.1  # minimum weight of the newest answer in the mean
 LATENCY_HALF_LIFE = 1.0  # seconds
-LATENCY_MEMORY = 60.0  # seconds for which zones are compared by it
-MIN_SLOWNESS, MAX_SLOWNESS = 0.5, 4.0  # multiples of the mean latency that count
+LATENCY_MEMORY = 60.0  # seconds for which a latency is used to compare zones
+MIN_SLOWNESS, MAX_SLOWNESS = 0.5, 4.0  # bounds, as multiples of the mean latency
 
 
 @dataclass
 class TargetLoad:
-    """What is known of one target."""
+    """The load and state of one target, as known to this node.
+
+    Attributes
+    ----------
+    in_flight : int
+        Calls of this node.
+    other_calls : float
+        Calls of other nodes by the last report.
+    """
 
     in_flight: int = 0
     other_calls: float = 0.0
@@ -51,21 +59,21 @@
 
 
 class LoadView:
-    """Keep the load of every target that this node uses."""
+    """Track the load of every target that this node uses."""
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
         self.targets: dict[str, TargetLoad] = {}
 
     def target_load(self, target: str) -> TargetLoad:
-        """Return what is known of a target."""
+        """Return the load of a target; a new target has none."""
         load = self.targets.get(target)
         if load is None:
             load = self.targets[target] = TargetLoad()
         return load
 
     def report(self, target: str, report: LoadReport, now: float) -> UpstreamState:
-        """Take in a report and return the state known before it."""
+        """Record a report and return the state known before it."""
         load = self.target_load(target)
         before = self.state(target, now)
         load.other_calls = max(0.0, report.in_flight + report.queued - load.in_flight)
@@ -75,7 +83,7 @@
         return before
 
     def state(self, target: str, now: float) -> UpstreamState:
-        """Return what a target's node said of it, while that holds."""
+        """Return the last reported state of a target, or ready once it expired."""
         load = self.target_load(target)
         memory = self.settings.state_memory
         if load.state is UpstreamState.LEAVING:
@@ -85,7 +93,7 @@
         return load.state
 
     def freshness(self, target: str, now: float) -> float:
-        """Return how much a report still counts, from 1 down to 0."""
+        """Return the weight of a target's last report, which decays with its age."""
         age = max(0.0, now - self.target_load(target).reported_at)
         return REPORT_WEIGHT * 0.5 ** (age / self.settings.report_half_life)
 
@@ -105,7 +113,7 @@
         }
 
     def answered(self, target: str, latency: float, now: float) -> None:
-        """Note how long an answered attempt took, queueing included."""
+        """Record the latency of an answered attempt, time in queues included."""
         load = self.target_load(target)
         weight = 1 - 0.5 ** ((now - load.answered_at) / LATENCY_HALF_LIFE)
         load.latency += max(LATENCY_WEIGHT, weight) * (latency - load.latency)
@@ -114,8 +122,8 @@
     def slowness(self, endpoints: Sequence[Endpoint], now: float) -> dict[str, float]:
         """Return each target's latency as a multiple of the mean.
 
-        It fades without answers: a target once slow would get no call that
-        could show that it no longer is.
+        The multiple decays towards 1 without new answers. Otherwise a target that
+        was slow once would get no call that could show its recovery.
         """
         loads = {each.target: self.target_load(each.target) for each in endpoints}
         known = [load.latency for load in loads.values() if load.latency]
@@ -123,7 +131,7 @@
         slowness = dict.fromkeys(loads, 1.0)
         for name, load in loads.items():
             if now < load.refused_until:
-                # Its few answers may be fast, those it refused got none.
+                # The latency of its few answers does not show the refused calls.
                 slowness[name] = MAX_SLOWNESS
                 continue
             if not load.latency:
@@ -136,9 +144,9 @@
     def latency_ratio(
         self, near: Sequence[Endpoint], far: Sequence[Endpoint], now: float
     ) -> float:
-        """Return how many times slower one group of targets answers than another.
+        """Return the mean latency of `near` divided by that of `far`.
 
-        It is 1 while nothing is known of either.
+        The ratio is 1 while either latency is unknown.
         """
         means = []
         for group in (near, far):
@@ -154,17 +162,17 @@
         return means[0] / max(means[1], 1e-6)
 
     def utilisation(self, endpoint: Endpoint, other_calls: float, now: float) -> float:
-        """Return the calls at a target as a part of what it runs at once."""
+        """Return the calls at a target divided by its limit of concurrent calls."""
         load = self.target_load(endpoint.target)
         slots = max(1, load.limit or endpoint.slots)
-        # A long queue told long ago must not outweigh what calls show now.
+        # Bounds the effect of a long queue in an old report.
         utilisation = (load.in_flight + min(other_calls, slots)) / slots
         if now < load.refused_until:
             return max(1.0, utilisation)
         return utilisation
 
     def down(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
-        """Return the targets whose nodes say that they are down."""
+        """Return the targets that their nodes report as down."""
         return frozenset(
             each.target
             for each in endpoints
@@ -172,7 +180,7 @@
         )
 
     def forget(self, target: str) -> None:
-        """Drop a target that is gone and has no call in flight."""
+        """Drop a removed target unless it has calls in flight."""
         load = self.targets.get(target)
         if load and load.in_flight == 0:
             del self.targets[target]
--- a/sequoiaspoke/core/routing/model.py
+++ b/sequoiaspoke/core/routing/model.py
@@ -1,4 +1,4 @@
-"""What routing decides on and what it answers."""
+"""Inputs and results of routing decisions."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """How an attempt at a target ended."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # the target or its node turned it away for load
+    REFUSED = "refused"  # by the target or its node, because of load
     FAILED = "failed"  # no connection, connection lost, answer truncated
     TIMED_OUT = "timed-out"
-    CANCELLED = "cancelled"  # the caller went away
+    CANCELLED = "cancelled"  # by the caller
 
 
 class UpstreamState(StrEnum):
-    """What a node says of its own upstream."""
+    """State of an upstream as reported by its home node."""
 
     READY = "ready"
     COLD = "cold"
@@ -31,24 +31,24 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A target's load at its home node, as carried on an answer."""
+    """A target's load at its home node, sent with an answer."""
 
     in_flight: int
     queued: int = 0
-    limit: int = 0  # calls it now runs at once; 0 for the published slots
+    limit: int = 0  # of concurrent calls; 0 for the published slots
     state: UpstreamState = UpstreamState.READY
 
 
 @dataclass(frozen=True)
 class RouteContext:
-    """What the choice of a target needs to know of a call."""
+    """The properties of a call that the choice of a target depends on."""
 
     key: str = ""  # the sticky key, empty for none
-    may_probe: bool = False  # idempotent and with an attempt to spare
+    may_probe: bool = False  # idempotent and with another attempt left
 
 
 class ChoiceReason(StrEnum):
-    """Why a target was chosen; each has a counter."""
+    """Reason for the choice of a target; each has a counter."""
 
     ZONE = "own-zone"
     SPILLED = "spilled-over"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The target of an attempt."""
+    """The target of an attempt and the reason for it."""
 
     endpoint: Endpoint
     reason: ChoiceReason
--- a/sequoiaspoke/core/routing/policies.py
+++ b/sequoiaspoke/core/routing/policies.py
@@ -1,11 +1,14 @@
-"""The ways in which a target is chosen among those that may take a call.
-
-The own zone goes first, since another one costs 1 ms and may be cut off. Calls
-leave it in proportion to its use between two thresholds: a fixed point would
-swing whole zones of traffic back and forth as the use crosses it. They also
-leave it as it answers more slowly than the others, up to nine in ten: a zone
-with one sick target is not busy, its calls are just late. One call in a hundred
-goes to another zone in any case, which is what makes the comparison possible.
+"""Policies that choose a target among the eligible ones.
+
+The node's own zone is preferred, since another zone adds 1 ms and may be cut off.
+Between two thresholds of its utilisation, the share of calls that spill over to
+other zones grows linearly. With a single threshold, the traffic of whole zones
+would swing back and forth around it.
+
+Calls also spill over when the zone answers more slowly than the others, up to
+nine in ten: a zone with one degraded target shows a low utilisation although its
+calls are late. One call in a hundred goes to another zone in any case, so that the
+latencies can be compared.
 """
 
 from __future__ import annotations
@@ -25,15 +28,15 @@
     from sequoiaspoke.core.routing.settings import RoutingSettings
     from sequoiaspoke.core.rules.model import Endpoint
 
-MIN_SPILL_SHARE = 0.01  # part of the calls that leave a healthy zone
-# Latency as a multiple of the other zones'.
+MIN_SPILL_SHARE = 0.01  # of the calls; keeps latencies of other zones known
+# Latency as a multiple of the other zones' at which spilling starts and is full.
 SPILL_RATIO_START, SPILL_RATIO_FULL = 1.5, 4.0
-MAX_SPILL_FOR_LATENCY = 0.9  # the rest shows when the zone is well again
-MAX_DRAWS = 8  # tries to draw a target in proportion to its slow start
+MAX_SPILL_FOR_LATENCY = 0.9  # the rest shows when the zone has recovered
+MAX_DRAWS = 8  # random draws of a target before one in slow start is accepted
 
 
 class RoundRobin(Balancer):
-    """Take turns over all targets; the baseline."""
+    """Choose all targets in turn, as a baseline."""
 
     def __init__(self, settings: RoutingSettings, zone: str, rng: Random) -> None:
         super().__init__(settings, zone, rng)
@@ -53,7 +56,7 @@
 
 
 class PowerOfTwo(Balancer):
-    """Take the less loaded of two random targets, own zone first."""
+    """Choose the less loaded of two random targets, preferring the own zone."""
 
     def pick(
         self,
@@ -62,7 +65,7 @@
         context: RouteContext,
         now: float,
     ) -> Choice:
-        """Return the better of two, or the target of the sticky key."""
+        """Return the less loaded of two targets, or the target of the sticky key."""
         other_calls = self.load.estimate_other_calls(endpoints, now)
         utilisation = {
             each.target: self.load.utilisation(each, other_calls[each.target], now)
@@ -87,7 +90,7 @@
         utilisation: dict[str, float],
         now: float,
     ) -> bool:
-        """Return whether this call leaves the zone."""
+        """Return whether this call goes to another zone."""
         near_utilisation = sum(utilisation[each.target] for each in near) / len(near)
         far_utilisation = sum(utilisation[each.target] for each in far) / len(far)
         start, full = self.settings.spill_start, self.settings.spill_full
@@ -106,7 +109,7 @@
     def less_used(
         self, endpoints: Sequence[Endpoint], utilisation: dict[str, float], now: float
     ) -> Endpoint:
-        """Return the less used of two targets drawn at random."""
+        """Return the less loaded of two targets drawn at random."""
         first = self.draw(endpoints, now)
         rest = [each for each in endpoints if each is not first]
         if not rest:
@@ -120,7 +123,7 @@
         return second if costs[1] < costs[0] else first
 
     def draw(self, endpoints: Sequence[Endpoint], now: float) -> Endpoint:
-        """Return a random target, one in slow start less often."""
+        """Return a random target, with a lower probability during slow start."""
         drawn = self.rng.choice(endpoints)
         for _ in range(MAX_DRAWS):
             if self.rng.random() < self.slow_start.share(drawn.target, now):
@@ -135,10 +138,10 @@
         key: str,
         utilisation: dict[str, float],
     ) -> Choice:
-        """Return the key's target, or the next one that is not overloaded.
+        """Return the first target in the key's order that is below the load bound.
 
-        A hot key would overload its target while the others idle; the bound
-        moves the excess on, always to the same next target.
+        Without the bound a hot key would overload its target while others are
+        idle. The excess always goes to the same next target.
         """
         order = sorted(
             endpoints,
@@ -149,8 +152,8 @@
         for position, each in enumerate(order):
             free_slot = 1 / max(1, each.slots)
             bound = self.settings.sticky_bound * mean + free_slot
-            # Near saturation the bound alone would leave the last targets of
-            # the order part idle while the first ones queue.
+            # Near saturation the bound exceeds 1, and the first targets of the
+            # order would queue calls while the last ones have free slots.
             if utilisation[each.target] <= min(bound, 1.0):
                 reason = ChoiceReason.STICKY_MOVED if position else ChoiceReason.STICKY
                 return Choice(each, reason)
@@ -159,7 +162,7 @@
 
 
 def ramp(value: float, start: float, full: float) -> float:
-    """Return how far a value is from a start to a full level, from 0 to 1."""
+    """Return the position of a value between two levels, from 0 to 1."""
     return min(1.0, max(0.0, (value - start) / max(full - start, 1e-9)))
 
 
@@ -167,5 +170,5 @@
 
 
 def make_balancer(settings: RoutingSettings, zone: str, rng: Random) -> Balancer:
-    """Return the balancer that the settings name."""
+    """Return the balancer that the settings select."""
     return POLICIES[settings.policy](settings, zone, rng)
--- a/sequoiaspoke/core/routing/retry.py
+++ b/sequoiaspoke/core/routing/retry.py
@@ -1,15 +1,17 @@
-"""Decide whether a failed attempt is tried again.
-
-A retry helps when one target fails and harms when all are overloaded: callers
-that each try three times turn an overload of a tenth into a threefold one that
-outlasts its cause, and in a chain of 19 services each level multiplies it. So a
-retry needs all of these: the attempt certainly did not run, or the call is
-idempotent; another target; time enough; and a token of the service's budget.
-Every call earns a twelfth of a token, which holds the added load under a tenth
-in a storm; the saved-up reserve of ten covers the calls in flight at one lost
-target of about ten slots. In a chain one level retries: an attempt that is
-itself a retry of some node before is not retried further down, and a failure
-whose retries were spent further down is not retried further up.
+"""Decide whether a failed attempt is retried.
+
+A retry helps if one target fails and harms if all are overloaded. Three attempts
+per call turn an overload of a tenth into a threefold one that outlasts its cause,
+and in a chain of 19 services each level multiplies it again. A retry therefore
+requires all of these:
+
+- The attempt certainly did not run, or the call is idempotent.
+- There is another target, and enough time.
+- The service's retry budget has a token. Each call earns about a twelfth of one,
+  which keeps the added load of a retry storm under a tenth. The reserve of ten
+  covers the calls in flight at one lost target with about ten slots.
+- No other node of the chain retries: a call that arrives as a retry of an earlier
+  node is not retried again, nor is a failure that a later node has retried.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
     from sequoiaspoke.core.rules.model import CallPolicy
     from sequoiaspoke.errors import CallError
 
-# Another attempt meets the same answer.
+# Another attempt would get the same answer.
 FINAL_ERRORS = (
     BadRequestError,
     DeadlineNotRunError,
@@ -51,7 +53,7 @@
 
 
 class GiveUpReason(StrEnum):
-    """Why an attempt is the last one; each has a counter."""
+    """Reason not to retry a failed attempt; each has a counter."""
 
     FINAL = "error-is-final"
     NOT_SAFE = "may-have-run"
@@ -63,7 +65,7 @@
 
 
 class RetryReason(StrEnum):
-    """Why an attempt is followed by another; each has a counter."""
+    """Reason for a retry; each has a counter."""
 
     NOT_RUN = "not-run"
     REFUSED_FOR_LOAD = "refused-for-load"
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """Try again on another target after `delay` seconds."""
+    """Retry on another target after `delay` seconds."""
 
     delay: float
     reason: RetryReason
@@ -80,25 +82,25 @@
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Answer the caller with the error now."""
+    """Answer the caller with the error."""
 
     reason: GiveUpReason
 
 
 class RetryBudget:
-    """Tokens that the calls of one service earn for its retries."""
+    """Retry tokens of one service, earned by its calls."""
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
         self.tokens = settings.retry_reserve
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Add the tokens that a first attempt earns, up to the reserve."""
         earned = self.tokens + self.settings.retry_ratio
         self.tokens = min(self.settings.retry_reserve, earned)
 
     def spend(self) -> bool:
-        """Take a token, if there is one."""
+        """Take a token; return whether there was one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -106,14 +108,14 @@
 
 
 class RetryPolicy:
-    """Decide on retries and keep each service's budget.
+    """Decide on retries and keep the retry budget of each service.
 
     Attributes
     ----------
     retried : Counter of RetryReason
-        Retries so far by reason.
+        Number of retries by reason.
     given_up : Counter of GiveUpReason
-        Errors handed to callers so far by reason.
+        Number of errors that were not retried by reason.
     """
 
     def __init__(self, settings: RoutingSettings, rng: Random) -> None:
@@ -124,13 +126,13 @@
         self.given_up: Counter[GiveUpReason] = Counter()
 
     def budget(self, service: str) -> RetryBudget:
-        """Return the budget of a service."""
+        """Return the retry budget of a service."""
         if service not in self.budgets:
             self.budgets[service] = RetryBudget(self.settings)
         return self.budgets[service]
 
     def first_attempt(self, service: str) -> None:
-        """Note the first attempt of a call."""
+        """Record the first attempt of a call."""
         self.budget(service).earn()
 
     def decide(
@@ -142,22 +144,22 @@
         remaining: float,
         incoming_attempt: int = 1,
     ) -> Retry | GiveUp:
-        """Return what follows a failed attempt.
+        """Decide whether to retry after a failed attempt.
 
         Parameters
         ----------
         attempt : int
-            Number of the attempt of this node that failed, from 1.
+            Number of the failed attempt at this node, from 1.
         remaining : float
             Seconds until the call's deadline.
-        arrived_as : int
-            `Progress.attempt` with which the call came in.
+        incoming_attempt : int
+            `Progress.attempt` with which the call arrived.
         """
         reason = self.give_up_reason(error, policy, attempt, incoming_attempt)
         delay = self.delay(error, attempt)
         if reason is None and delay + self.settings.retry_least > remaining:
             reason = GiveUpReason.NO_TIME
-        # Asked last: a token is taken only for a retry that is made.
+        # Checked last, so that a token is spent only on a retry that is made.
         if reason is None and not self.budget(service).spend():
             reason = GiveUpReason.BUDGET
         if reason is not None:
@@ -174,7 +176,7 @@
         attempt: int,
         incoming_attempt: int,
     ) -> GiveUpReason | None:
-        """Return why the call may not be tried again, budgets aside."""
+        """Return why the call may not be retried, apart from time and budget."""
         if isinstance(error, FINAL_ERRORS):
             return GiveUpReason.FINAL
         if error.ran is not Ran.NOT_RUN and not policy.idempotent:
@@ -188,13 +190,13 @@
         return None
 
     def delay(self, error: CallError, attempt: int) -> float:
-        """Return the seconds to wait; none when the target itself failed."""
+        """Return the jittered delay after a refusal for load, and 0 otherwise."""
         if not isinstance(error, OVERLOAD_ERRORS):
             return 0.0
         return self.rng.uniform(0, self.settings.retry_delay * 2 ** (attempt - 1))
 
     def retry_reason(self, error: CallError) -> RetryReason:
-        """Return the reason under which a retry is counted."""
+        """Return the reason by which a retry is counted."""
         if error.ran is not Ran.NOT_RUN:
             return RetryReason.IDEMPOTENT
         if isinstance(error, OVERLOAD_ERRORS):
@@ -202,6 +204,6 @@
         return RetryReason.NOT_RUN
 
     def retain(self, services: frozenset[str]) -> None:
-        """Forget the budgets of services no longer in force."""
+        """Forget the budgets of all services but these."""
         for service in self.budgets.keys() - services:
             del self.budgets[service]
--- a/sequoiaspoke/core/routing/slowstart.py
+++ b/sequoiaspoke/core/routing/slowstart.py
@@ -1,10 +1,10 @@
-"""Give a target that came, or came back, its share step by step.
+"""Raise the share of a new or recovered target gradually.
 
-A process that has just started has empty caches and unopened pools. Balanced by
-calls in flight it looks idle, so it gets every call at once and answers all of
-them late: one replaced VM of three turns into a stall of the service. The share
-grows evenly from a tenth, which is enough calls to warm it and few enough to
-leave its slots free, over the ten seconds that upstreams need.
+A process that has just started has empty caches and no pooled connections. A
+balancer by calls in flight takes it for idle, sends it all calls, and they are
+answered late: one replaced VM of three can stall the service. The share therefore
+grows linearly over the ten seconds that upstreams need to warm up. It starts at a
+tenth, which warms the target and leaves it free slots.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
         self.started_at: dict[str, float] = {}
 
     def begin(self, target: str, now: float) -> None:
-        """Start a target's warm-up anew."""
+        """Start or restart the warm-up of a target."""
         self.started_at[target] = now
 
     def share(self, target: str, now: float) -> float:
-        """Return the part of its share that a target gets, up to 1."""
+        """Return the part of its full share that a target gets, up to 1."""
         started_at = self.started_at.get(target)
         if started_at is None:
             return 1.0
@@ -39,5 +39,5 @@
         return least + (1 - least) * max(0.0, elapsed) / self.settings.slow_start
 
     def forget(self, target: str) -> None:
-        """Drop a target that is gone."""
+        """Drop a target that was removed."""
         self.started_at.pop(target, None)
--- a/sequoiaspoke/core/routing/split.py
+++ b/sequoiaspoke/core/routing/split.py
@@ -1,12 +1,12 @@
 """Divide calls between services by weight.
 
-An operator who moves one call in a hundred to a new service expects one in a
-hundred. Random choice strays by its square root, which on a quiet rule means
-none for minutes and then three at once. Smooth weighted turns are exact over
-every run of `sum of weights` calls and spread evenly within it. The first turn
-is drawn at random: 2,000 nodes that all began at the same service would send it
-the first call of each, a burst after every change of the rules. Calls with a
-sticky key are divided by the key's hash, so that a caller stays with a service.
+A random choice deviates from the weights by the square root of the number of
+calls. With a weight of 1 in 100 and little traffic, the service would get no call
+for minutes and then several at once. Smooth weighted round robin is exact over
+each round of `sum of weights` calls and spreads them evenly within it. It starts
+at a random position. Otherwise all 2,000 nodes would send their first call to the
+same service, a burst after every change of the rules. Calls with a sticky key are
+divided by the key's hash, so that a key always goes to the same service.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 def stable_hash(*words: str) -> int:
-    """Return the same 64-bit number for the same words on every node."""
+    """Return a 64-bit hash that is the same on every node."""
     digest = hashlib.blake2b("\0".join(words).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 class WeightedRoundRobin:
-    """Hand out turns in proportion to weights."""
+    """Smooth weighted round robin over the services of a split."""
 
     def __init__(self, split: tuple[WeightedService, ...], rng: Random) -> None:
         self.split = split
@@ -60,7 +60,7 @@
         Parameters
         ----------
         rule : str
-            Name of the rule; its turns begin anew when its split changes.
+            Name of the rule; its rotation restarts when its split changes.
         key : str
             Sticky key, empty for none.
         """
@@ -76,7 +76,7 @@
     def choose_by_key(
         self, rule: str, split: tuple[WeightedService, ...], key: str
     ) -> str:
-        """Return the service that a sticky key always gets."""
+        """Return the service that a sticky key is mapped to."""
         total = sum(entry.weight for entry in split)
         point = stable_hash(rule, key) * total // HASH_SPACE
         for entry in split:
@@ -86,6 +86,6 @@
         return split[-1].service
 
     def retain(self, rules: frozenset[str]) -> None:
-        """Forget the turns of rules no longer in force."""
+        """Forget all rules but these."""
         for rule in self.turns.keys() - rules:
             del self.turns[rule]
--- a/sequoiaspoke/tests/test_grants.py
+++ b/sequoiaspoke/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Tests of granted direct connections, home and entry, without network."""
+"""Tests of grants of direct connections at home and entry, without network."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -36,7 +36,7 @@
         return self.call(now + 0.01)
 
     def exchange(self, now, room):
-        """Carry what the entry asks to the home and back."""
+        """Deliver the entry's messages to the home and the answers back."""
         for question in self.entry.due_questions(now):
             self.tell(question, room, now)
 
@@ -62,7 +62,7 @@
             self.entry.done("t", grant)
             self.exchange(now, IDLE)
 
-    def test_rare_use_asks_for_nothing(self):
+    def test_rare_use_requests_no_grant(self):
         for now in range(10):
             self.call(float(now))
             self.assertEqual([], self.entry.due_questions(now + 0.5))
@@ -75,10 +75,10 @@
         self.assertEqual(0, self.call(1.3))
 
     def test_the_lease_counts_from_the_question(self):
-        """The home's answer is held up, or the entry's process is paused.
+        """The home's answer is late, or the entry's process was paused.
 
-        Counted from its arrival the lease would outlast the home's, and a
-        leaving target would get new work.
+        If the lease were counted from the arrival of the answer, it would outlast
+        the home's, and a leaving target would get new calls.
         """
         for _ in range(12):
             self.call(0.0)
@@ -87,10 +87,10 @@
         self.entry.answered(question, answer)  # at 5.0, long after
         self.assertEqual(0, self.call(5.0))
 
-    def test_an_answer_given_up_on_is_not_used(self):
-        """An answer arrives after its question was given up on and asked anew.
+    def test_a_late_answer_to_a_failed_question_is_not_used(self):
+        """An answer arrives after its question failed and was sent again.
 
-        Taken for the newer question's, its lease would last too long.
+        If it were applied to the newer question, its lease would last too long.
         """
         for now in (0.0, 2.1):
             for _ in range(12):
@@ -115,10 +115,10 @@
 
 
 class HomeTests(GrantCase):
-    def test_a_waiting_call_ends_lending_and_idle_grants_come_back(self):
-        """Another entry's calls begin to wait while this one holds slots.
+    def test_a_waiting_call_ends_granting_and_idle_slots_are_returned(self):
+        """Another entry's calls have to wait while this one holds idle slots.
 
-        Slots held idle would make them wait for nothing.
+        Without a recall they would wait although slots are free.
         """
         self.entry.done("t", self.granted())
         self.assertTrue(self.home.must_recall(BUSY, 0.6))
@@ -128,10 +128,10 @@
         asked = self.home.ask(Ask("other"), IDLE, 0.8)
         self.assertEqual(Denied(DenyReason.CONTENTION), asked)
 
-    def test_a_drain_cuts_no_direct_call_and_begins_none(self):
-        """A planned stop begins while a direct call runs.
+    def test_a_drain_aborts_no_direct_call_and_starts_none(self):
+        """A drain begins while a direct call runs.
 
-        Its slot stays counted until it ends; no further one begins.
+        Its slot stays counted until it ends, and no further direct call starts.
         """
         grant = self.granted()
         self.home.close()
@@ -141,17 +141,17 @@
         self.tell(self.entry.done("t", grant), IDLE, 0.9)
         self.assertEqual(0, self.home.reserved)
 
-    def test_slots_lent_to_an_entry_that_died_come_back(self):
+    def test_slots_granted_to_an_entry_that_died_become_free(self):
         self.granted()
         self.home.expire(SETTINGS.grant_lease + SETTINGS.grant_call - 0.1)
         self.assertEqual(SETTINGS.grant_slots, self.home.reserved)
         self.home.expire(SETTINGS.grant_lease + SETTINGS.grant_call + 0.1)
         self.assertEqual(0, self.home.reserved)
 
-    def test_calls_begun_while_a_renewal_waited_stay_counted(self):
-        """The home holds a renewal back, then recalls the grant.
+    def test_calls_started_while_a_renewal_waited_stay_counted(self):
+        """The home delays its answer to a renewal and then recalls the grant.
 
-        What the question said of calls in flight is old by then.
+        The number of calls in flight in the request is outdated by then.
         """
         grant = self.granted()
         (question,) = self.entry.due_questions(0.6)
@@ -163,7 +163,7 @@
         self.tell(self.entry.done("t", grant), BUSY, 1.0)
         self.assertEqual(1, self.home.reserved)
 
-    def test_half_of_the_slots_at_most_are_lent(self):
+    def test_at_most_half_of_the_slots_are_granted(self):
         for n in range(20):
             free = 10 - self.home.reserved
             answer = self.home.ask(Ask(f"entry-{n}"), Capacity(10, free, 0), 0.0)
@@ -186,10 +186,10 @@
         ),
     )
     def test_the_home_counts_every_direct_call_in_flight(self, steps):
-        """Questions and answers are lost or late, the target drains, time jumps.
+        """Messages are lost or late, the target drains, and time jumps.
 
-        A direct call that the home does not count would overload the upstream;
-        one begun after the lease would reach a target that has left.
+        A direct call that the home does not count could overload the upstream. One
+        that starts after the lease could reach a target that has left.
         """
         self.home, self.entry = GrantHome(SETTINGS), GrantEntry(SETTINGS, "entry")
         now, closed_at, late = 0.0, float("inf"), []
--- a/sequoiaspoke/tests/test_routing.py
+++ b/sequoiaspoke/tests/test_routing.py
@@ -79,25 +79,24 @@
         self.assertNotIn("t0", self.spread(ends, 100))
 
     def test_calls_leave_a_busy_zone_in_proportion_to_its_use(self):
-        """The foremen's zone fills up in the morning while others are idle.
+        """The node's own zone fills up while another one is idle.
 
-        With a fixed threshold all its calls would leave at once, and come back
-        at once; callers would see latency swing. Here the part that leaves
-        grows with the use.
+        With a single threshold all calls would leave and return at once, and the
+        latency would oscillate. The share that leaves grows with the utilisation.
         """
         ends = endpoints("bole", "akaki")
         away = []
         for held in (5, 2, 2):
             self.hold("t0", held)
             away.append(self.spread(ends, 400)["t1"])
-        self.assertTrue(0 < away[0] <= 12, away)  # scouts alone
-        self.assertTrue(0 < away[1] <= 12, away)  # seven of ten slots: not yet
+        self.assertTrue(0 < away[0] <= 12, away)  # the minimum share
+        self.assertTrue(0 < away[1] <= 12, away)  # seven of ten slots
         self.assertTrue(200 < away[2] < 340, away)
 
     def test_calls_leave_a_zone_that_answers_slowly(self):
-        """The one target in the foremen's zone is sick: late, but not busy.
+        """The only target of the own zone answers late but is not busy.
 
-        Calls that stay because of the zone would all be late.
+        By utilisation alone all calls would stay in the zone and be late.
         """
         ends = endpoints("bole", "akaki")
         for target, latency in (("t0", 0.5), ("t1", 0.05)):
@@ -106,11 +105,11 @@
         away = self.spread(ends, 400, now=1.0)["t1"]
         self.assertTrue(320 < away < 400, away)
 
-    def test_an_old_report_no_longer_decides(self):
-        """A report of ten seconds ago says that a target is full.
+    def test_an_old_report_loses_its_weight(self):
+        """A report that a target is full is ten seconds old.
 
-        Taken at its word, every node would shun a target that has long been
-        idle and overload the others.
+        At full weight it would make every node avoid a target that is idle by
+        now and overload the others.
         """
         ends = endpoints("bole", "bole")
         self.balancer.report("t0", LoadReport(10), 0.0)
@@ -128,10 +127,10 @@
         self.assertEqual(0, self.spread(ends, 50, now=0.1)["t0"])
         self.assertEqual(50, self.spread(ends, 50, now=1.0)["t0"])
 
-    def test_a_target_that_refuses_is_not_excused_by_its_fast_answers(self):
-        """A target under overload serves its newest callers at once.
+    def test_fast_answers_do_not_hide_a_target_that_refuses(self):
+        """An overloaded target answers its newest calls fast and refuses others.
 
-        Judged by those answers alone it would be sent even more.
+        By the latency of its answers alone it would get even more calls.
         """
         ends = endpoints("bole", "bole")
         for target, latency in (("t0", 0.01), ("t1", 0.05)):
@@ -149,16 +148,16 @@
         late = self.spread(ends, 900, now=20.0)["t2"]
         self.assertTrue(20 < early < 90 < 200 < late, (early, late))
 
-    def test_a_cold_or_down_target_is_passed_over_while_it_says_so(self):
+    def test_a_down_target_is_avoided_while_its_report_is_valid(self):
         ends = endpoints("bole", "bole")
         self.balancer.report("t0", LoadReport(0, state=UpstreamState.DOWN), 0.0)
         self.assertEqual(0, self.spread(ends, 50, now=2.0)["t0"])
         self.assertTrue(self.spread(ends, 50, now=4.0)["t0"] > 0)
 
     def test_a_service_whose_targets_all_look_down_stays_in_use(self):
-        """Every target's own check fails for a reason that calls do not share.
+        """Every target is reported as down although calls to it would succeed.
 
-        Believing it would turn a broken health page into an outage.
+        Trusting the reports would turn a fault of the checks into an outage.
         """
         ends = endpoints("bole", "bole", "bole")
         for each in ends:
@@ -166,7 +165,7 @@
             self.balancer.report(each.target, down, 0.0)
         self.assertEqual(3, len(self.spread(ends, 50, now=0.1)))
 
-    def test_leaving_by_list_or_by_own_word_gets_no_new_work(self):
+    def test_a_target_leaving_by_list_or_report_gets_no_calls(self):
         ends = endpoints("bole", "bole", "akaki")
         self.balancer.set_leaving(frozenset({"vm0"}))
         leaving = LoadReport(0, state=UpstreamState.LEAVING)
@@ -175,7 +174,7 @@
         self.assertRaises(NoTargetError, self.choose, ends[:2], 20.0)
         self.assertEqual({"t1": 5}, dict(self.spread(ends[:2], 5, now=60.0)))
 
-    def test_an_excluded_target_is_not_tried_again(self):
+    def test_an_excluded_target_is_not_chosen(self):
         ends = endpoints("bole", "bole")
         got = self.spread(ends, 20, exclude=frozenset({"t0"}))
         self.assertEqual({"t1": 20}, dict(got))
@@ -191,10 +190,9 @@
         self.assertEqual({key for key in keys if before[key] == "t0"}, moved)
 
     def test_a_hot_key_spills_to_the_next_target(self):
-        """One ceremony's page takes most of the load of its evening.
+        """One sticky key has most of the load.
 
-        Its own target would be overloaded and the widow's page late, while the
-        other targets idle.
+        Without a bound its target would be overloaded while the others are idle.
         """
         ends = endpoints("bole", "bole", "bole")
         used = Counter()
@@ -207,10 +205,10 @@
 
 
 class EjectionTests(BalancerCase):
-    def test_failures_eject_and_a_probe_brings_back(self):
-        """A VM dies; calls to it fail fast, so it looks idle.
+    def test_failures_eject_a_target_and_a_probe_restores_it(self):
+        """Calls to a dead VM fail fast, so it looks idle.
 
-        Without ejection a third of the bookings would fail again and again.
+        Without ejection it would keep getting a third of the calls or more.
         """
         ends = endpoints("bole", "bole", "bole")
         self.fail("t0", SETTINGS.eject_failures, 0.0)
@@ -234,7 +232,7 @@
         self.assertTrue(self.balancer.ejector.probe_due("t0", 6.2))
 
     def test_the_floor_keeps_a_target_in_use(self):
-        """This node's own network fails, so that every target looks dead."""
+        """The node's own network fails, so every target looks dead."""
         ends = endpoints("bole", "bole", "bole")
         for each in ends:
             self.fail(each.target, SETTINGS.eject_failures, 0.0)
@@ -281,10 +279,10 @@
         self.assertIsInstance(decision, GiveUp)
         return decision.reason
 
-    def test_only_not_run_or_idempotent_calls_are_tried_again(self):
-        """The connection breaks after a booking went out.
+    def test_only_not_run_or_idempotent_calls_are_retried(self):
+        """The connection breaks after a call was sent.
 
-        A second attempt could book the crusher twice.
+        A retry of a call that is not idempotent could execute it twice.
         """
         booking = self.reason(ConnectionLostError(), idempotent=False)
         self.assertEqual(GiveUpReason.NOT_SAFE, booking)
@@ -316,9 +314,10 @@
         self.assertEqual(SETTINGS.retry_reserve, self.retries.budget("fleet").tokens)
 
     def test_a_storm_of_refusals_adds_less_than_a_tenth(self):
-        """Every target refuses, and every caller tries again.
+        """Every target refuses every call.
 
-        Threefold load would keep the service down after its cause is gone.
+        Without a retry budget, three times the load would keep the service down
+        after the cause of the overload has gone.
         """
         for _ in range(1000):
             self.retries.first_attempt("fleet")
@@ -326,10 +325,9 @@
         self.assertTrue(80 <= self.retries.retried.total() <= 95)
 
     def test_a_chain_of_19_does_not_multiply(self):
-        """The last of 19 services fails for a moment.
+        """The last of 19 services in a chain fails.
 
-        If each level tried three times, one page of a member would become a
-        billion calls.
+        If each level made three attempts, one call would become a billion.
         """
         ran = Counter()
 
@@ -352,21 +350,21 @@
 
 
 class DeadlineTests(TestCase):
-    def test_a_carried_deadline_shortens_and_never_extends(self):
+    def test_a_propagated_deadline_shortens_and_never_extends(self):
         self.assertEqual(101.0, enter(SETTINGS, 10, 100.0, 1000).deadline)
         self.assertEqual(110.0, enter(SETTINGS, 10, 100.0, 60000).deadline)
         progress = enter(SETTINGS, 10, 100.0, 1000)
         self.assertEqual(498, progress.remaining_ms(100.5, 0.002))
 
     def test_a_loop_of_rules_ends_at_the_depth_limit(self):
-        """Two rules send calls to each other's service.
+        """Two rules route calls to each other's service.
 
-        One call would circle until its deadline and take slots all the while.
+        Without a limit, one call would circulate and hold slots until its deadline.
         """
         depth = 0
         for _ in range(SETTINGS.depth_limit):
             depth = enter(SETTINGS, 10, 0.0, 10000, 1, depth).depth
         self.assertRaises(TooDeepError, enter, SETTINGS, 10, 0.0, 10000, 1, depth)
 
-    def test_nothing_left_is_not_run(self):
+    def test_a_call_without_time_left_is_not_run(self):
         self.assertRaises(DeadlineNotRunError, enter, SETTINGS, 10, 0.0, 0)
