--- a/sequoiaspoke/core/admission/durations.py
+++ b/sequoiaspoke/core/admission/durations.py
@@ -1,12 +1,12 @@
-"""Measure how long each kind of call holds a slot, and when it is answered.
-
-Nothing that callers declare says how long a call will take, and a rule that
-says so is wrong after the next release of the upstream. How long finished calls
-held their slots, by kind, tells what a call costs its caller's share and which
-work is long. How long they took to the head of their answers tells which calls
-can still be answered in time. The two differ for streams: a recording begins
-within milliseconds and runs for minutes, and held against its deadline by its
-whole length it would be refused whenever a call waits.
+"""Estimate how long each kind of call holds a slot and when it is answered.
+
+Callers don't declare how long a call takes, and a duration configured in a rule
+is wrong after the next release of the upstream, so durations are measured. The
+slot times of finished calls, by kind, give the cost charged to a caller and tell
+long calls from short ones. The times to the response head tell which calls can
+still be answered in time. The two differ for streams: a recording starts within
+milliseconds and runs for minutes. If its deadline were compared with its slot
+time, it would be refused whenever another call waits.
 """
 
 from __future__ import annotations
@@ -14,116 +14,121 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-WEIGHT = 0.1  # of the newest call; ten calls outweigh all before
-DOUBT = 0.01  # a hundred refusals take a duration to a third
-KINDS = 256  # remembered at most, so that odd kinds don't fill the memory
-SHORT_PART = 0.1  # of the calls whose durations define what is short
+WEIGHT = 0.1  # of the newest call; the last ten outweigh all earlier ones
+REFUSAL_DECAY = 0.01  # a hundred refusals reduce an estimate to about a third
+MAX_KINDS = 256  # bounds the memory when there are many kinds
+SHORT_QUANTILE = 0.1  # the quantile of durations that counts as short
 
 
 @dataclass
-class Duration:
+class DurationEstimate:
     """Mean and mean deviation of durations, in seconds."""
 
     mean: float
     deviation: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Take in one more call."""
-        off = seconds - self.mean
-        self.mean += WEIGHT * off
-        self.deviation += WEIGHT * (abs(off) - self.deviation)
+        """Update the averages with a finished call."""
+        difference = seconds - self.mean
+        self.mean += WEIGHT * difference
+        self.deviation += WEIGHT * (abs(difference) - self.deviation)
 
 
 @dataclass
-class Kind:
-    """What is remembered of one kind of calls.
+class KindDurations:
+    """Durations and frequency of one kind of call.
 
     Attributes
     ----------
-    held : Duration
-        Of the slot.
-    head : Duration
-        Until the head of the answer.
-    calls : float
-        How frequent it is among recent calls.
+    held : DurationEstimate
+        How long a call holds its slot.
+    head : DurationEstimate
+        Time to the response head.
+    frequency : float
+        Exponentially decayed number of calls.
     """
 
-    held: Duration
-    head: Duration
-    calls: float = 0.0
+    held: DurationEstimate
+    head: DurationEstimate
+    frequency: float = 0.0
 
     def add(self, held: float, head: float) -> None:
-        """Take in one more call."""
+        """Update both estimates with a finished call."""
         self.held.add(held)
         self.head.add(head)
 
 
 class Durations:
-    """Remember the durations of the kinds seen lately."""
+    """Keep the durations of the most recently used kinds."""
 
     def __init__(self) -> None:
-        self.kinds: OrderedDict[str, Kind] = OrderedDict()
-        self.all = Kind(Duration(0.0), Duration(0.0))
-        self.short = 0.0
+        self.kinds: OrderedDict[str, KindDurations] = OrderedDict()
+        self.overall = KindDurations(DurationEstimate(0.0), DurationEstimate(0.0))
+        self.short_duration = 0.0
 
     def add(self, kind: str, held: float, head: float) -> None:
-        """Note how long a call held its slot, and took to its answer's head."""
+        """Record a call's slot time and its time to the response head."""
         known = self.kinds.get(kind)
         if known is None:
-            known = self.kinds[kind] = Kind(Duration(held), Duration(head))
+            known = self.kinds[kind] = KindDurations(
+                DurationEstimate(held), DurationEstimate(head)
+            )
         known.add(held, head)
         self.kinds.move_to_end(kind)
-        if len(self.kinds) > KINDS:
+        if len(self.kinds) > MAX_KINDS:
             self.kinds.popitem(last=False)
-        if not self.all.held.mean:
-            self.all = Kind(Duration(held), Duration(head))
-        self.all.add(held, head)
-        self.weigh(known)
+        if not self.overall.held.mean:
+            self.overall = KindDurations(DurationEstimate(held), DurationEstimate(head))
+        self.overall.add(held, head)
+        self.update_frequencies(known)
 
-    def weigh(self, newest: Kind) -> None:
-        """Update how frequent each kind is and what is short."""
+    def update_frequencies(self, newest: KindDurations) -> None:
+        """Update the frequency of each kind and the duration of short calls."""
         for each in self.kinds.values():
-            each.calls *= 1 - WEIGHT / 10
-        newest.calls += 1
-        total = sum(each.calls for each in self.kinds.values())
+            each.frequency *= 1 - WEIGHT / 10
+        newest.frequency += 1
+        total = sum(each.frequency for each in self.kinds.values())
         seen = 0.0
         for each in sorted(self.kinds.values(), key=lambda known: known.held.mean):
-            seen += each.calls
-            if seen >= SHORT_PART * total:
-                self.short = each.held.mean
+            seen += each.frequency
+            if seen >= SHORT_QUANTILE * total:
+                self.short_duration = each.held.mean
                 return
 
     def expected(self, kind: str) -> float:
-        """Return how long a kind holds its slot, or all when it is new."""
-        return self.kinds.get(kind, self.all).held.mean
+        """Return the mean slot time of a kind, or of all calls if it is unknown."""
+        return self.kinds.get(kind, self.overall).held.mean
 
     def answer_time(self, kind: str) -> float:
-        """Return the mean seconds to the head of a kind's answer."""
-        return self.kinds.get(kind, self.all).head.mean
+        """Return the mean time to the response head of a kind, in seconds."""
+        return self.kinds.get(kind, self.overall).head.mean
 
-    def likely(self, kind: str) -> float:
-        """Return the seconds within which most answers of a kind begin."""
-        head = self.kinds.get(kind, self.all).head
+    def likely_answer_time(self, kind: str) -> float:
+        """Return the seconds within which most answers of a kind begin.
+
+        This is the mean plus one mean deviation.
+        """
+        head = self.kinds.get(kind, self.overall).head
         return head.mean + head.deviation
 
-    def doubt(self, kind: str) -> None:
-        """Lower a kind's time to answer a little, since it turned a call away.
+    def decay_answer_time(self, kind: str) -> None:
+        """Reduce a kind's answer time slightly after it caused a refusal.
 
-        Calls that are turned away bring no new measurement. A kind that was
-        slow once would be refused for as long as there is a queue.
+        Refused calls add no measurement, so without the decay a kind that was
+        slow once would be refused as long as there is a queue.
         """
         known = self.kinds.get(kind)
         if known:
-            known.head.mean *= 1 - DOUBT
-            known.head.deviation *= 1 - DOUBT
+            known.head.mean *= 1 - REFUSAL_DECAY
+            known.head.deviation *= 1 - REFUSAL_DECAY
 
     def is_long(self, kind: str, factor: float) -> bool:
-        """Return whether a kind lasts a multiple of the short ones.
+        """Return whether a kind lasts more than `factor` times a short call.
 
-        A kind never seen counts as long once short work is known: a flood of
-        new calls would otherwise hold every slot before the first one ends.
+        An unknown kind counts as long once short calls are known. Otherwise a
+        burst of new calls could take every slot before the first one finishes.
         """
-        if not self.short:
+        if not self.short_duration:
             return False
         known = self.kinds.get(kind)
-        return known is None or known.held.mean > factor * self.short
+        return known is None or known.held.mean > factor * self.short_duration
--- a/sequoiaspoke/core/admission/queue.py
+++ b/sequoiaspoke/core/admission/queue.py
@@ -1,18 +1,20 @@
 """Order and bound the calls that wait for a slot.
 
-A queue helps with a burst and harms under standing overload: every call waits
-the whole queue's length, most are answered after their callers have gone, and
-the target works at full load for nobody. So no call waits longer than its
-priority allows or than leaves time to answer it. Once the queue has not been
-empty for half of that, and its oldest call has waited a quarter, the newest go
-first: a burst would have passed, so the overload stands, and the newest callers
-are still there. A queue that merely lasts but moves stays in order. Whoever is
-given up on hears so at once, with a time to return.
-
-An urgent call is worth little late, so it waits least and is refused early; a
-patient one, such as an archive page, may wait many seconds. Between priorities
-the slots are shared 8 : 4 : 1, not strictly, since a stream of urgent calls
-would otherwise keep archive pages from ever arriving.
+A queue absorbs a burst but harms under persistent overload: every call waits for
+the whole queue, most are answered after their callers have gone, and the target's
+work is wasted. So a call waits no longer than its priority allows, nor so long
+that it could not be answered before its deadline.
+
+If a priority's queue has not been empty for half of its maximum wait, and its
+oldest call has waited a quarter of it, the overload counts as persistent, since a
+burst would have passed. Then the newest calls go first, because their callers
+are still waiting. A queue that is never empty but keeps moving stays in order of
+arrival. Refused callers are told at once, with a time to retry after.
+
+A late answer to an urgent call is worth little, so it waits least and is refused
+early; a patient call may wait many seconds. Slots are shared 8 : 4 : 1 between
+priorities. Strict priority would starve patient calls under a steady stream of
+urgent ones.
 """
 
 from __future__ import annotations
@@ -32,45 +34,46 @@
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.core.admission.shares import Shares
 
-SHARES = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
+PRIORITY_WEIGHTS = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
 
-TELLING_SECONDS = 0.03  # a look at the queue every 20 ms, and the way back
+# Longest time until a refusal reaches the entry: the queue is checked every 20 ms.
+REFUSAL_DELIVERY_SECONDS = 0.03
 
-Given = tuple["Arrival", RefusalReason]
+Refusal = tuple["Arrival", RefusalReason]
 
 
 class CallQueue(ABC):
-    """Hold the calls that wait."""
+    """Hold the calls that wait for a slot."""
 
     @abstractmethod
     def __len__(self) -> int:
         """Return how many wait."""
 
     @abstractmethod
-    def push(self, call: Arrival, rate: float, now: float) -> list[Given]:
-        """Let a call wait; return the calls given up on, it or others.
+    def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
+        """Queue a call; return the refused calls, which may include others.
 
         Parameters
         ----------
         rate : float
-            Calls that the target finishes per second.
+            Calls that the target completes per second.
         """
 
     @abstractmethod
     def pop(self, allow: Callable[[Arrival], bool], now: float) -> Arrival | None:
-        """Take out the next call among those allowed."""
+        """Remove and return the next call for which `allow` is true."""
 
     @abstractmethod
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
 
     @abstractmethod
-    def expire(self, now: float) -> list[Given]:
-        """Take out the calls to give up on by now."""
+    def expire(self, now: float) -> list[Refusal]:
+        """Remove and return the calls to refuse by now."""
 
 
 class FifoQueue(CallQueue):
-    """Serve in order of arrival whatever the deadlines; the baseline."""
+    """Serve in order of arrival regardless of deadlines, as a baseline."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
@@ -85,8 +88,8 @@
         call: Arrival,
         rate: float,  # noqa: ARG002
         now: float,  # noqa: ARG002
-    ) -> list[Given]:
-        """Append a call unless the queue is full."""
+    ) -> list[Refusal]:
+        """Append a call, or refuse it if the queue is full."""
         if len(self.calls) >= self.settings.queue_calls:
             return [(call, RefusalReason.QUEUE_FULL)]
         self.calls.append(call)
@@ -97,56 +100,60 @@
         allow: Callable[[Arrival], bool],  # noqa: ARG002
         now: float,  # noqa: ARG002
     ) -> Arrival | None:
-        """Take out the oldest call."""
+        """Remove and return the oldest call."""
         return self.calls.popleft() if self.calls else None
 
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
         for each in self.calls:
             if each.call == call:
                 self.calls.remove(each)
                 return True
         return False
 
-    def expire(self, now: float) -> list[Given]:  # noqa: ARG002
-        """Keep everything."""
+    def expire(self, now: float) -> list[Refusal]:  # noqa: ARG002
+        """Refuse nothing."""
         return []
 
 
-class Waiting:
-    """The calls of one priority that wait.
+class WaitingCalls:
+    """The waiting calls of one priority.
 
     Attributes
     ----------
-    time : float
+    virtual_time : float
         Virtual time of the priority, which advances with each call served.
+    busy_since : float
+        When the queue last became non-empty.
+    newest_first : bool
+        Whether the overload was found to be persistent.
     """
 
-    def __init__(self, wait: float) -> None:
-        self.wait = wait
+    def __init__(self, max_wait: float) -> None:
+        self.max_wait = max_wait
         self.calls: dict[int, Arrival] = {}
-        self.time = 0.0
-        self.since = 0.0
+        self.virtual_time = 0.0
+        self.busy_since = 0.0
         self.newest_first = False
 
     def begin(self, now: float) -> None:
-        """Note that the first call after a pause waits."""
-        self.since = now
+        """Record that the queue becomes non-empty."""
+        self.busy_since = now
         self.newest_first = False
 
     def overloaded(self, now: float) -> bool:
-        """Return whether the overload stands; once so until nothing waits."""
+        """Return whether the overload is persistent; this holds until none waits."""
         if not self.calls:
             return False
         oldest = next(iter(self.calls.values()))
-        standing = now - self.since > self.wait / 2
-        if standing and now - oldest.arrived > self.wait / 4:
+        persistent = now - self.busy_since > self.max_wait / 2
+        if persistent and now - oldest.arrived > self.max_wait / 4:
             self.newest_first = True
         return self.newest_first
 
 
 class FairQueue(CallQueue):
-    """Serve by priority, then by who has had least."""
+    """Serve by weighted priority, then by the least served caller and key."""
 
     def __init__(
         self, settings: AdmissionSettings, durations: Durations, shares: Shares
@@ -155,58 +162,60 @@
         self.durations = durations
         self.shares = shares
         self.waiting = {
-            Priority.URGENT: Waiting(settings.urgent_wait),
-            Priority.ORDINARY: Waiting(settings.ordinary_wait),
-            Priority.PATIENT: Waiting(settings.patient_wait),
+            Priority.URGENT: WaitingCalls(settings.urgent_wait),
+            Priority.ORDINARY: WaitingCalls(settings.ordinary_wait),
+            Priority.PATIENT: WaitingCalls(settings.patient_wait),
         }
 
     def __len__(self) -> int:
         """Return how many wait."""
         return sum(len(each.calls) for each in self.waiting.values())
 
-    def push(self, call: Arrival, rate: float, now: float) -> list[Given]:
-        """Let a call wait if it can be answered in time."""
-        given = self.expire(now)
+    def push(self, call: Arrival, rate: float, now: float) -> list[Refusal]:
+        """Queue a call if it can be answered in time."""
+        refusals = self.expire(now)
         waiting = self.waiting[call.priority]
         if not waiting.calls:
-            # The priority starts at the present and has saved nothing up.
+            # An idle priority accumulates no credit.
             waiting.begin(now)
-            waiting.time = max(waiting.time, self.present())
-        reason = self.refusal(call, waiting, rate, now)
+            waiting.virtual_time = max(waiting.virtual_time, self.least_virtual_time())
+        reason = self.refusal_reason(call, waiting, rate, now)
         if reason:
-            return [*given, (call, reason)]
+            return [*refusals, (call, reason)]
         waiting.calls[call.call] = call
         if len(waiting.calls) > self.settings.queue_calls:
-            given.append(self.evict(waiting, now))
-        return given
+            refusals.append(self.evict(waiting, now))
+        return refusals
 
-    def present(self) -> float:
-        """Return the least virtual time of a priority that waits."""
-        times = [each.time for each in self.waiting.values() if each.calls]
+    def least_virtual_time(self) -> float:
+        """Return the least virtual time of the priorities with waiting calls."""
+        times = [each.virtual_time for each in self.waiting.values() if each.calls]
         return min(times, default=0.0)
 
-    def refusal(
-        self, call: Arrival, waiting: Waiting, rate: float, now: float
+    def refusal_reason(
+        self, call: Arrival, waiting: WaitingCalls, rate: float, now: float
     ) -> RefusalReason | None:
-        """Return why a call should not even wait."""
-        wait = 0.0 if waiting.overloaded(now) else self.ahead(call, waiting) / rate
-        if now + wait + self.durations.likely(call.kind) > call.deadline:
-            self.durations.doubt(call.kind)
+        """Return why a call is refused on arrival, or None if it may wait."""
+        wait = (
+            0.0 if waiting.overloaded(now) else self.calls_ahead(call, waiting) / rate
+        )
+        if now + wait + self.durations.likely_answer_time(call.kind) > call.deadline:
+            self.durations.decay_answer_time(call.kind)
             return RefusalReason.DEADLINE_TOO_CLOSE
-        if wait > waiting.wait:
+        if wait > waiting.max_wait:
             return RefusalReason.WAIT_TOO_LONG
         return None
 
-    def ahead(self, call: Arrival, waiting: Waiting) -> int:
-        """Count the waiting calls that would be served before it."""
-        tag = self.shares.tag(call)
+    def calls_ahead(self, call: Arrival, waiting: WaitingCalls) -> int:
+        """Count the waiting calls that would be served before a call."""
+        start_tag = self.shares.start_tag(call)
         return sum(
-            each.caller == call.caller or self.shares.tag(each) < tag
+            each.caller == call.caller or self.shares.start_tag(each) < start_tag
             for each in waiting.calls.values()
         )
 
-    def evict(self, waiting: Waiting, now: float) -> Given:
-        """Give up on a call of whoever has most waiting."""
+    def evict(self, waiting: WaitingCalls, now: float) -> Refusal:
+        """Remove a call of the caller or key with the most waiting calls."""
         calls = list(waiting.calls.values())
         callers = Counter(each.caller for each in calls)
         keys = Counter(each.key for each in calls if each.key)
@@ -215,72 +224,74 @@
         if keys and keys.most_common(1)[0][1] > most:
             key, most = keys.most_common(1)[0]
             group = [each for each in calls if each.key == key]
-        # The newest would wait longest, unless the newest go first.
+        # Chooses the call that would be served last.
         victim = group[0] if waiting.overloaded(now) else group[-1]
         del waiting.calls[victim.call]
-        full = most * 2 <= len(calls)
-        reason = RefusalReason.QUEUE_FULL if full else RefusalReason.OVER_SHARE
+        evenly_spread = most * 2 <= len(calls)
+        reason = RefusalReason.QUEUE_FULL if evenly_spread else RefusalReason.OVER_SHARE
         return victim, reason
 
     def pop(self, allow: Callable[[Arrival], bool], now: float) -> Arrival | None:
-        """Take out the next call among those allowed."""
+        """Remove and return the next call for which `allow` is true."""
         ready = [item for item in self.waiting.items() if item[1].calls]
-        for priority, waiting in sorted(ready, key=lambda item: item[1].time):
-            call = self.first(waiting, allow, now)
+        for priority, waiting in sorted(ready, key=lambda item: item[1].virtual_time):
+            call = self.next_call(waiting, allow, now)
             if call is None:
                 continue
             del waiting.calls[call.call]
-            waiting.time += self.durations.expected(call.kind) / SHARES[priority]
+            waiting.virtual_time += (
+                self.durations.expected(call.kind) / PRIORITY_WEIGHTS[priority]
+            )
             return call
         return None
 
-    def first(
-        self, waiting: Waiting, allow: Callable[[Arrival], bool], now: float
+    def next_call(
+        self, waiting: WaitingCalls, allow: Callable[[Arrival], bool], now: float
     ) -> Arrival | None:
-        """Return the call whose caller and key have had least."""
+        """Return the allowed call with the lowest start tag."""
         sign = -1 if waiting.overloaded(now) else 1
         best, best_rank = None, (float("inf"), 0)
         for place, call in enumerate(waiting.calls.values()):
-            rank = (self.shares.tag(call), sign * place)
+            rank = (self.shares.start_tag(call), sign * place)
             if rank < best_rank and allow(call):
                 best, best_rank = call, rank
         return best
 
     def remove(self, call: int) -> bool:
-        """Take out a call whose caller went away."""
+        """Remove a call that its caller has cancelled; return whether it waited."""
         for waiting in self.waiting.values():
             if waiting.calls.pop(call, None):
                 return True
         return False
 
-    def end(self, call: Arrival) -> float:
-        """Return until when a call may wait."""
-        # The refusal must reach the entry before its own deadline, else the
-        # caller hears "outcome unknown" of a call that was never run.
-        needed = max(self.durations.answer_time(call.kind), TELLING_SECONDS)
+    def wait_until(self, call: Arrival) -> float:
+        """Return the time until which a call may wait."""
+        # The refusal must reach the entry before the entry's own deadline.
+        # Otherwise the caller is told "outcome unknown" for a call that never ran.
+        needed = max(self.durations.answer_time(call.kind), REFUSAL_DELIVERY_SECONDS)
         latest = call.deadline - needed
-        return min(latest, call.arrived + self.waiting[call.priority].wait)
+        return min(latest, call.arrived + self.waiting[call.priority].max_wait)
 
-    def expire(self, now: float) -> list[Given]:
-        """Take out the calls that waited too long or are too late to answer."""
-        given = []
+    def expire(self, now: float) -> list[Refusal]:
+        """Remove and return calls that waited too long or would be answered late."""
+        refusals = []
         for waiting in self.waiting.values():
             for call in list(waiting.calls.values()):
-                if self.end(call) > now:
+                if self.wait_until(call) > now:
                     continue
                 del waiting.calls[call.call]
-                waited = now - call.arrived >= waiting.wait
+                waited = now - call.arrived >= waiting.max_wait
                 reason = (
                     RefusalReason.WAITED_TOO_LONG if waited else RefusalReason.EXPIRED
                 )
-                given.append((call, reason))
-        return given
+                refusals.append((call, reason))
+        return refusals
 
 
 def make_queue(
     settings: AdmissionSettings, durations: Durations, shares: Shares
 ) -> CallQueue:
-    """Return the queue that the settings name."""
+    """Return the queue that the settings select."""
     if settings.queue == "fifo":
         return FifoQueue(settings)
     return FairQueue(settings, durations, shares)
--- a/sequoiaspoke/core/routing/grants_home.py
+++ b/sequoiaspoke/core/routing/grants_home.py
@@ -1,17 +1,17 @@
-"""Grant direct connections to this home's upstream, and take them back.
-
-An entry that calls a target steadily pays the home's hop on every call only to
-be told that there is room. While there is room, the home lends it a few slots
-for a second at a time, for idempotent calls; the lent slots count as taken, so
-that the upstream's limit holds exactly. As soon as a call has to wait, nothing
-is lent any more: slots held idle by one entry while another's call waits would
-be unfair, and the fair queue can only order calls that pass it. After that the
-home lends nothing for some seconds, else lending and recalling would alternate
-with every burst.
-
-What is lent comes back when the entry returns it. If the entry has died, or the
-message is lost, it comes back when the lease and the longest direct call are
-over, so a lost grant never costs a slot for good and no direct call begins more
+"""Grant direct connections to this home's upstream, and recall them.
+
+Every call through the home costs a hop, even if slots are free. While they are,
+the home grants a few slots to an entry that calls the target steadily, for a
+second at a time and for idempotent calls only. Granted slots count as taken, so
+that the upstream's limit holds exactly. When a call has to wait, grants end: it
+would be unfair if one entry held idle slots while another's call waits, and the
+fair queue can only order calls that pass it. The home then grants nothing for a
+while (`grant_pause`), since otherwise each burst would cause grants and recalls
+in turn.
+
+Slots become free when the entry returns them. If the entry died or its message
+was lost, they become free when the lease and the longest direct call are over.
+So a lost grant never costs a slot permanently, and no direct call starts more
 than a lease after a drain.
 """
 
@@ -36,22 +36,22 @@
 
 
 @dataclass
-class Lent:
-    """Slots that an entry holds."""
+class GrantedSlots:
+    """Slots granted to an entry."""
 
     entry: str
     slots: int
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True)
-class Room:
-    """What the home's admission says of its slots.
+class Capacity:
+    """The state of the home's slots.
 
     Attributes
     ----------
     limit : int
-        Calls that the target now runs at once, granted ones included.
+        Current limit of concurrent calls, granted slots included.
     free : int
         Slots that neither a call nor a grant holds.
     waiting : int
@@ -64,20 +64,20 @@
 
 
 class GrantHome:
-    """Lend slots of one target.
+    """Grant slots of one target to entries.
 
     Attributes
     ----------
     denied : Counter of DenyReason
-        Questions answered without a grant.
+        Number of denied requests by reason.
     recalls : int
-        Grants taken back before their lease was over.
+        Number of grants recalled before their lease was over.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
         self.numbers = count(1)
-        self.lent: dict[int, Lent] = {}
+        self.granted: dict[int, GrantedSlots] = {}
         self.closed = False
         self.paused_until = float("-inf")
         self.denied: Counter[DenyReason] = Counter()
@@ -85,83 +85,87 @@
 
     @property
     def reserved(self) -> int:
-        """Return the slots that admission must count as taken."""
-        return sum(each.slots for each in self.lent.values())
+        """Return the number of slots that admission must count as taken."""
+        return sum(each.slots for each in self.granted.values())
 
-    def ask(self, ask: Ask, room: Room, now: float) -> GrantAnswer:
-        """Answer an entry's question."""
-        reason = self.refusal(room, now)
+    def ask(self, ask: Ask, capacity: Capacity, now: float) -> GrantAnswer:
+        """Answer an entry's request for a grant or its renewal."""
+        reason = self.denial_reason(capacity, now)
         if reason is DenyReason.CONTENTION:
             self.pause(now)
         if ask.grant:
             return self.renew(ask, reason, now)
-        slots = min(self.settings.grant_slots, room.free, self.lendable(room))
+        slots = min(
+            self.settings.grant_slots, capacity.free, self.grantable_slots(capacity)
+        )
         if reason is None and slots < 1:
             reason = DenyReason.SHARE
         if reason:
             return self.deny(reason)
         number = next(self.numbers)
-        self.lent[number] = Lent(ask.entry, slots, now + self.settings.grant_lease)
+        self.granted[number] = GrantedSlots(
+            ask.entry, slots, now + self.settings.grant_lease
+        )
         return Granted(number, slots, self.settings.grant_lease)
 
-    def refusal(self, room: Room, now: float) -> DenyReason | None:
-        """Return why nothing at all is lent now."""
+    def denial_reason(self, capacity: Capacity, now: float) -> DenyReason | None:
+        """Return why no slots are granted now, or None if they may be."""
         if self.closed:
             return DenyReason.DRAINING
-        if room.waiting or now < self.paused_until:
+        if capacity.waiting or now < self.paused_until:
             return DenyReason.CONTENTION
         return None
 
     def renew(self, ask: Ask, reason: DenyReason | None, now: float) -> GrantAnswer:
-        """Prolong a grant, or take it back."""
-        lent = self.lent.get(ask.grant)
-        if lent is None or lent.entry != ask.entry:
+        """Renew a grant or recall it."""
+        granted = self.granted.get(ask.grant)
+        if granted is None or granted.entry != ask.entry:
             return self.deny(DenyReason.UNKNOWN)
         if reason:
-            # The slots stay counted until the entry tells what it still uses:
-            # since it asked, it may have begun more calls.
+            # The slots stay counted until the entry reports what it still uses,
+            # because it may have started more calls since its request.
             self.recalls += 1
             return self.deny(reason)
-        lent.until = now + self.settings.grant_lease
-        return Granted(ask.grant, lent.slots, self.settings.grant_lease)
+        granted.expires_at = now + self.settings.grant_lease
+        return Granted(ask.grant, granted.slots, self.settings.grant_lease)
 
-    def lendable(self, room: Room) -> int:
-        """Return how many more slots may be lent."""
-        return int(self.settings.grant_share * room.limit) - self.reserved
+    def grantable_slots(self, capacity: Capacity) -> int:
+        """Return how many more slots may be granted."""
+        return int(self.settings.grant_share * capacity.limit) - self.reserved
 
     def deny(self, reason: DenyReason) -> Denied:
-        """Count and return a denial."""
+        """Count a denial and return it."""
         self.denied[reason] += 1
         return Denied(reason)
 
     def pause(self, now: float) -> None:
-        """Lend nothing for a while; holders hear it when they renew."""
+        """Grant nothing for a while; current grants end with their next renewal."""
         self.paused_until = now + self.settings.grant_pause
 
     def close(self) -> None:
-        """Lend nothing any more, since the target leaves or moves."""
+        """Grant nothing from now on, since the target is leaving or moving."""
         self.closed = True
 
-    def must_recall(self, room: Room, now: float) -> bool:
-        """Return whether holders that wait for a renewal must hear at once."""
-        return bool(self.lent) and self.refusal(room, now) is not None
+    def must_recall(self, capacity: Capacity, now: float) -> bool:
+        """Return whether pending renewals must be answered at once."""
+        return bool(self.granted) and self.denial_reason(capacity, now) is not None
 
     def returned(self, message: Returned) -> None:
-        """Take back the slots of a grant, save those still in use."""
-        lent = self.lent.get(message.grant)
-        if lent and lent.entry == message.entry:
+        """Free the slots of a returned grant except those still in use."""
+        granted = self.granted.get(message.grant)
+        if granted and granted.entry == message.entry:
             self.shrink(message.grant, message.in_use)
 
     def shrink(self, grant: int, in_use: int) -> None:
-        """Keep only the slots in use counted as taken."""
-        lent = self.lent[grant]
-        lent.slots = min(lent.slots, in_use)
-        if lent.slots <= 0:
-            del self.lent[grant]
+        """Reduce a grant to the slots in use and drop it when there are none."""
+        granted = self.granted[grant]
+        granted.slots = min(granted.slots, in_use)
+        if granted.slots <= 0:
+            del self.granted[grant]
 
     def expire(self, now: float) -> None:
-        """Take back what entries that are gone hold."""
+        """Drop grants of entries that neither renewed nor returned them in time."""
         longest = self.settings.grant_call
-        for number, lent in list(self.lent.items()):
-            if now > lent.until + longest:
-                del self.lent[number]
+        for number, granted in list(self.granted.items()):
+            if now > granted.expires_at + longest:
+                del self.granted[number]
