--- a/sequoiaspoke/commands/declarations.py
+++ b/sequoiaspoke/commands/declarations.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from sequoiaspoke.core.rules.parse import Declarations, parse_declarations
-from sequoiaspoke.core.rules.reach import unreachable
+from sequoiaspoke.core.rules.reach import unreachable_rules
 from sequoiaspoke.core.rules.validate import errors_of, validate
 from sequoiaspoke.errors import DeclarationsError, Problem
 
@@ -38,7 +38,7 @@
 def find_problems(declarations: Declarations) -> tuple[Problem, ...]:
     """Return all errors and warnings, each with its file and line."""
     rules, services = declarations.rules, declarations.services
-    problems = (*validate(rules, services), *unreachable(rules))
+    problems = (*validate(rules, services), *unreachable_rules(rules))
     return tuple(declarations.locate(problem) for problem in problems)
 
 
--- a/sequoiaspoke/commands/explain.py
+++ b/sequoiaspoke/commands/explain.py
@@ -12,7 +12,7 @@
 from sequoiaspoke.errors import RequestTextError
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.rules.matcher import Miss
+    from sequoiaspoke.core.rules.matcher import Mismatch
     from sequoiaspoke.core.rules.model import RequestHead, Rule
 
 
@@ -31,8 +31,8 @@
     request = _request(method, url, header, zone)
     explanation = compile_rules(declarations.rules).explain(request)
     print(f"request: {request.method} {request.path}")
-    for miss in explanation.misses:
-        print(_describe_miss(miss))
+    for mismatch in explanation.mismatches:
+        print(_describe_mismatch(mismatch))
     print(_describe_rule(explanation.decision.rule))
 
 
@@ -52,10 +52,13 @@
     return make_request_head(method, target, host, pairs, zone)
 
 
-def _describe_miss(miss: Miss) -> str:
-    found = "nothing" if miss.found is None else repr(miss.found)
-    wanted = describe_condition(miss.condition)
-    return f"{_place(miss.rule)}: rule {miss.rule.name} no: {wanted}; found {found}"
+def _describe_mismatch(mismatch: Mismatch) -> str:
+    found = "nothing" if mismatch.found is None else repr(mismatch.found)
+    wanted = describe_condition(mismatch.condition)
+    return (
+        f"{_place(mismatch.rule)}: rule {mismatch.rule.name} no: {wanted}; "
+        f"found {found}"
+    )
 
 
 def _describe_rule(rule: Rule | None) -> str:
--- a/sequoiaspoke/core/rules/compare.py
+++ b/sequoiaspoke/core/rules/compare.py
@@ -12,15 +12,15 @@
 WILDCARD = "*"
 
 
-def holds(condition: Condition, request: RequestHead) -> bool:
+def matches(condition: Condition, request: RequestHead) -> bool:
     """Tell whether a request meets a condition."""
-    value = value_of(condition, request)
+    value = request_value(condition, request)
     if value is None:
         return False
-    return accepts(condition, value)
+    return matches_value(condition, value)
 
 
-def value_of(condition: Condition, request: RequestHead) -> str | None:
+def request_value(condition: Condition, request: RequestHead) -> str | None:
     """Return the part of the request that a condition looks at."""
     if condition.field is Field.HEADER:
         return request.headers.get(condition.name)
@@ -35,16 +35,16 @@
     return request.path
 
 
-def accepts(condition: Condition, value: str) -> bool:
+def matches_value(condition: Condition, value: str) -> bool:
     """Tell whether a value satisfies a condition's comparison."""
     if condition.comparison is Comparison.PRESENT:
         return True
     if condition.comparison is Comparison.EXACT:
         return value in condition.values
     if condition.comparison is Comparison.SEGMENTS:
-        return any(fits_pattern(value, pattern) for pattern in condition.values)
+        return any(matches_pattern(value, pattern) for pattern in condition.values)
     if condition.field is Field.PATH:
-        return any(is_under(value, prefix) for prefix in condition.values)
+        return any(has_path_prefix(value, prefix) for prefix in condition.values)
     return value.startswith(condition.values)
 
 
@@ -56,35 +56,35 @@
     return host.lower()
 
 
-def is_under(path: str, prefix: str) -> bool:
+def has_path_prefix(path: str, prefix: str) -> bool:
     """Tell whether a path is the prefix itself or lies below it.
 
     Prefixes end on a segment's boundary, and a trailing slash of the prefix
     does not count: `/billing` and `/billing/` both hold for `/billing` and
     `/billing/7`, neither for `/billings`.
     """
-    stem = stem_of(prefix)
+    stem = strip_trailing_slash(prefix)
     if not stem:
         return True
     return path.startswith(stem) and path[len(stem) : len(stem) + 1] in ("", "/")
 
 
-def stem_of(prefix: str) -> str:
+def strip_trailing_slash(prefix: str) -> str:
     """Return a path prefix without its trailing slash."""
     return prefix[:-1] if prefix.endswith("/") else prefix
 
 
-def fits_pattern(path: str, pattern: str) -> bool:
+def matches_pattern(path: str, pattern: str) -> bool:
     """Tell whether a path has the segments of a pattern.
 
     `*` and `{name}` stand for one segment that is not empty.
     """
-    segments, wanted = path.split("/"), pattern.split("/")
-    if len(segments) != len(wanted):
+    segments, expected_segments = path.split("/"), pattern.split("/")
+    if len(segments) != len(expected_segments):
         return False
     return all(
-        (segment != "" if is_wildcard(want) else segment == want)
-        for segment, want in zip(segments, wanted, strict=True)
+        (segment != "" if is_wildcard(expected) else segment == expected)
+        for segment, expected in zip(segments, expected_segments, strict=True)
     )
 
 
@@ -93,7 +93,7 @@
     return segment == WILDCARD or (segment.startswith("{") and segment.endswith("}"))
 
 
-def literal_stem(pattern: str) -> str:
+def literal_prefix(pattern: str) -> str:
     """Return the part of a pattern before its first wildcard, as a prefix."""
     literal = []
     for segment in pattern.split("/"):
--- a/sequoiaspoke/core/rules/diff.py
+++ b/sequoiaspoke/core/rules/diff.py
@@ -41,10 +41,13 @@
 
 def compare(old: Declarations, new: Declarations) -> tuple[Change, ...]:
     """Return every difference: rules in their order, then services."""
-    return (*_rules(old.rules, new.rules), *_services(old.services, new.services))
+    return (
+        *_rule_changes(old.rules, new.rules),
+        *_service_changes(old.services, new.services),
+    )
 
 
-def _rules(old: tuple[Rule, ...], new: tuple[Rule, ...]) -> Iterator[Change]:
+def _rule_changes(old: tuple[Rule, ...], new: tuple[Rule, ...]) -> Iterator[Change]:
     before = {rule.name: rule for rule in old}
     after = {rule.name: rule for rule in new}
     for name in before:
@@ -53,33 +56,37 @@
     for name, rule in after.items():
         if name not in before:
             yield Change(ChangeKind.ADDED, f"rule {name}", _summary(rule))
-    for name in sorted(_moved(list(before), list(after))):
-        places = f"from {list(before).index(name) + 1} to {list(after).index(name) + 1}"
-        yield Change(ChangeKind.MOVED, f"rule {name}", places)
+    for name in sorted(_moved_rules(list(before), list(after))):
+        positions = (
+            f"from {list(before).index(name) + 1} to {list(after).index(name) + 1}"
+        )
+        yield Change(ChangeKind.MOVED, f"rule {name}", positions)
     for name, rule in after.items():
         if name in before:
-            yield from _fields(f"rule {name}", _plain(before[name]), _plain(rule))
+            yield from _field_changes(
+                f"rule {name}", _rule_fields(before[name]), _rule_fields(rule)
+            )
 
 
-def _moved(old: list[str], new: list[str]) -> set[str]:
+def _moved_rules(old: list[str], new: list[str]) -> set[str]:
     # Additions and removals shift the places of all rules behind them; only
     # rules that changed their order among those that stay count as moved.
-    stay = [name for name in old if name in new]
-    order = [name for name in new if name in old]
-    matcher = difflib.SequenceMatcher(None, stay, order, autojunk=False)
+    old_order = [name for name in old if name in new]
+    new_order = [name for name in new if name in old]
+    matcher = difflib.SequenceMatcher(None, old_order, new_order, autojunk=False)
     kept = {
         name
         for block in matcher.get_matching_blocks()
-        for name in stay[block.a : block.a + block.size]
+        for name in old_order[block.a : block.a + block.size]
     }
-    return set(stay) - kept
+    return set(old_order) - kept
 
 
 def _summary(rule: Rule) -> str:
     return f"{describe_conditions(rule.when)} -> {describe_action(rule.then)}"
 
 
-def _plain(rule: Rule) -> dict[str, Any]:
+def _rule_fields(rule: Rule) -> dict[str, Any]:
     policy = rule.policy
     return {
         "when": describe_conditions(rule.when),
@@ -92,7 +99,9 @@
     }
 
 
-def _services(old: tuple[Service, ...], new: tuple[Service, ...]) -> Iterator[Change]:
+def _service_changes(
+    old: tuple[Service, ...], new: tuple[Service, ...]
+) -> Iterator[Change]:
     before = {service.name: service for service in old}
     after = {service.name: service for service in new}
     for name in before:
@@ -103,10 +112,12 @@
             count = f"endpoints: {len(service.endpoints)}"
             yield Change(ChangeKind.ADDED, f"service {name}", count)
         else:
-            yield from _endpoints(name, before[name].endpoints, service.endpoints)
+            yield from _endpoint_changes(
+                name, before[name].endpoints, service.endpoints
+            )
 
 
-def _endpoints(
+def _endpoint_changes(
     service: str, old: tuple[Endpoint, ...], new: tuple[Endpoint, ...]
 ) -> Iterator[Change]:
     before = {endpoint.target: endpoint for endpoint in old}
@@ -121,10 +132,14 @@
             place = f"{endpoint.zone} {endpoint.address}:{endpoint.mesh_port}"
             yield Change(ChangeKind.ADDED, subject, place)
         else:
-            yield from _fields(subject, dataclasses.asdict(before[target]), plain)
+            yield from _field_changes(
+                subject, dataclasses.asdict(before[target]), plain
+            )
 
 
-def _fields(subject: str, old: dict[str, Any], new: dict[str, Any]) -> Iterator[Change]:
+def _field_changes(
+    subject: str, old: dict[str, Any], new: dict[str, Any]
+) -> Iterator[Change]:
     for key, value in new.items():
         if old[key] != value:
             detail = f"{key}: {old[key]} -> {value}"
--- a/sequoiaspoke/core/rules/grammar.py
+++ b/sequoiaspoke/core/rules/grammar.py
@@ -22,7 +22,7 @@
 from sequoiaspoke.errors import DeclarationsError, Problem
 
 NUMBER = re.compile(r"[0-9]{1,9}")
-NAMED = re.compile(
+NAMED_CONDITION = re.compile(
     r"(?P<name>[^\s=\"]+)\s*(?:(?P<exact>=)|\s(?P<word>prefix|present)(?=\s|$))"
     r"\s*(?P<values>.*)",
     re.DOTALL,
@@ -33,7 +33,7 @@
     each.value: each
     for each in (Comparison.EXACT, Comparison.PREFIX, Comparison.SEGMENTS)
 }
-SPECIAL = re.compile(r"[\s,;=\"]")
+NEEDS_QUOTES = re.compile(r"[\s,;=\"]")
 
 
 def parse_conditions(text: str) -> tuple[Condition, ...]:
@@ -53,20 +53,22 @@
     field, _, rest = text.partition(" ")
     rest = rest.strip()
     if field in LISTED_FIELDS:
-        return _listed(LISTED_FIELDS[field], rest, text)
+        return _parse_listed(LISTED_FIELDS[field], rest, text)
     if field in NAMED_FIELDS:
-        return _named(NAMED_FIELDS[field], rest, text)
+        return _parse_named(NAMED_FIELDS[field], rest, text)
     if field == "path":
         word, _, values = rest.partition(" ")
         if word not in PATH_COMPARISONS:
             fail(f"found {text!r}; allowed: path exact, path prefix or path segments")
-        return Condition(Field.PATH, PATH_COMPARISONS[word], _values(values, text))
+        return Condition(
+            Field.PATH, PATH_COMPARISONS[word], _parse_values(values, text)
+        )
     allowed = ", ".join(("path", *LISTED_FIELDS, *NAMED_FIELDS))
     fail(f"found {text!r}; allowed: a condition that begins with one of {allowed}")
 
 
-def _listed(field: Field, rest: str, text: str) -> Condition:
-    values = _values(rest.removeprefix("=").strip(), text)
+def _parse_listed(field: Field, rest: str, text: str) -> Condition:
+    values = _parse_values(rest.removeprefix("=").strip(), text)
     if field is Field.METHOD:
         values = tuple(value.upper() for value in values)
     if field is Field.HOST:
@@ -74,8 +76,8 @@
     return Condition(field, Comparison.EXACT, values)
 
 
-def _named(field: Field, rest: str, text: str) -> Condition:
-    match = NAMED.fullmatch(rest)
+def _parse_named(field: Field, rest: str, text: str) -> Condition:
+    match = NAMED_CONDITION.fullmatch(rest)
     if match is None:
         kind = field.value
         fail(f"found {text!r}; allowed: {kind} NAME = VALUES, prefix VALUES or present")
@@ -85,10 +87,10 @@
             fail(f"found {text!r}; allowed: nothing after present")
         return Condition(field, Comparison.PRESENT, (), name)
     comparison = Comparison.EXACT if match["exact"] else Comparison.PREFIX
-    return Condition(field, comparison, _values(match["values"], text), name)
+    return Condition(field, comparison, _parse_values(match["values"], text), name)
 
 
-def _values(rest: str, text: str) -> tuple[str, ...]:
+def _parse_values(rest: str, text: str) -> tuple[str, ...]:
     values = tuple(unquote(part) for part in split_unquoted(rest, ","))
     if not rest.strip():
         fail(f"found {text!r}; allowed: one or more values, separated by commas")
@@ -105,7 +107,7 @@
     """
     word, _, rest = " ".join(text.split()).partition(" ")
     if word == "route" and rest:
-        return _route(rest)
+        return _parse_route(rest)
     words = rest.split(" ") if rest else []
     if word == "redirect" and len(words) == 1:
         return Redirect(words[0])
@@ -121,7 +123,7 @@
     )
 
 
-def _route(rest: str) -> RouteTo:
+def _parse_route(rest: str) -> RouteTo:
     services, sticky, header = rest.partition(" sticky ")
     split = []
     for part in services.split(","):
@@ -135,10 +137,10 @@
     return RouteTo(tuple(split), header.strip().lower())
 
 
-def whole_number(text: str, what: str) -> int:
+def whole_number(text: str, quantity: str) -> int:
     """Read a whole number; see `parse_action`."""
     if not NUMBER.fullmatch(text):
-        fail(f"found {text!r}; allowed: a whole number as {what}")
+        fail(f"found {text!r}; allowed: a whole number as {quantity}")
     return int(text)
 
 
@@ -177,7 +179,7 @@
 def describe_condition(condition: Condition) -> str:
     """Write a condition as `parse_condition` reads it."""
     field, comparison = condition.field, condition.comparison
-    values = ", ".join(_quoted(value) for value in condition.values)
+    values = ", ".join(_quote(value) for value in condition.values)
     if field is Field.PATH:
         return f"path {comparison.value} {values}"
     if field not in NAMED_FIELDS.values():
@@ -199,12 +201,12 @@
     if isinstance(action, Refuse):
         return f"refuse {action.status} {action.reason}"
     split = ", ".join(f"{each.service} {each.weight}" for each in action.split)
-    return f"route {split}" + _sticky(action)
+    return f"route {split}" + _describe_sticky(action)
 
 
-def _sticky(action: RouteTo) -> str:
+def _describe_sticky(action: RouteTo) -> str:
     return f" sticky {action.sticky_header}" if action.sticky_header else ""
 
 
-def _quoted(value: str) -> str:
-    return f'"{value}"' if not value or SPECIAL.search(value) else value
+def _quote(value: str) -> str:
+    return f'"{value}"' if not value or NEEDS_QUOTES.search(value) else value
--- a/sequoiaspoke/core/rules/matcher.py
+++ b/sequoiaspoke/core/rules/matcher.py
@@ -13,10 +13,10 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.rules.compare import (
-    holds,
-    literal_stem,
-    stem_of,
-    value_of,
+    literal_prefix,
+    matches,
+    request_value,
+    strip_trailing_slash,
 )
 from sequoiaspoke.core.rules.model import Comparison, Field
 
@@ -25,7 +25,7 @@
 
     from sequoiaspoke.core.rules.model import Condition, RequestHead, Rule
 
-INDEXED_PATHS = (Comparison.EXACT, Comparison.PREFIX, Comparison.SEGMENTS)
+INDEXED_COMPARISONS = (Comparison.EXACT, Comparison.PREFIX, Comparison.SEGMENTS)
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Miss:
+class Mismatch:
     """A rule that a request does not meet, and the first condition that fails."""
 
     rule: Rule
@@ -50,7 +50,7 @@
     """A decision and why each earlier rule did not decide."""
 
     decision: Decision
-    misses: tuple[Miss, ...]
+    mismatches: tuple[Mismatch, ...]
 
 
 @dataclass(frozen=True)
@@ -65,14 +65,14 @@
     """The rules that one method can meet, filed under a path or a value."""
 
     def __init__(self) -> None:
-        self.equal: dict[Condition, dict[str, list[Candidate]]] = {}
-        self.exact: dict[str, list[Candidate]] = {}
-        self.under: dict[str, list[Candidate]] = {}
+        self.by_value: dict[Condition, dict[str, list[Candidate]]] = {}
+        self.by_path: dict[str, list[Candidate]] = {}
+        self.by_prefix: dict[str, list[Candidate]] = {}
 
     def add(self, index: int, conditions: tuple[Condition, ...]) -> None:
         """File one rule, whose method is known to hold."""
         for position, condition in enumerate(conditions):
-            if _is_indexed(condition):
+            if _is_indexed_path(condition):
                 rest = conditions[:position] + conditions[position + 1 :]
                 self.add_path(condition, index, rest)
                 return
@@ -81,16 +81,16 @@
                 rest = conditions[:position] + conditions[position + 1 :]
                 self.add_value(condition, index, rest)
                 return
-        self.under.setdefault("", []).append(Candidate(index, conditions))
+        self.by_prefix.setdefault("", []).append(Candidate(index, conditions))
 
     def add_value(
         self, condition: Condition, index: int, rest: tuple[Condition, ...]
     ) -> None:
         """File one rule under each value of a host, header, query or zone."""
-        kind = dataclasses.replace(condition, values=())
-        files = self.equal.setdefault(kind, {})
+        operand = dataclasses.replace(condition, values=())
+        buckets = self.by_value.setdefault(operand, {})
         for value in condition.values:
-            files.setdefault(value, []).append(Candidate(index, rest))
+            buckets.setdefault(value, []).append(Candidate(index, rest))
 
     def add_path(
         self, condition: Condition, index: int, rest: tuple[Condition, ...]
@@ -98,30 +98,38 @@
         """File one rule under each of its paths."""
         for value in condition.values:
             if condition.comparison is Comparison.EXACT:
-                files, key, left = self.exact, value, rest
+                buckets, key, remaining = self.by_path, value, rest
             elif condition.comparison is Comparison.PREFIX:
-                files, key, left = self.under, stem_of(value), rest
+                buckets, key, remaining = (
+                    self.by_prefix,
+                    strip_trailing_slash(value),
+                    rest,
+                )
             else:
-                files, key, left = self.under, literal_stem(value), (condition, *rest)
-            files.setdefault(key, []).append(Candidate(index, left))
+                buckets, key, remaining = (
+                    self.by_prefix,
+                    literal_prefix(value),
+                    (condition, *rest),
+                )
+            buckets.setdefault(key, []).append(Candidate(index, remaining))
 
     def candidates(self, request: RequestHead) -> Iterable[Candidate]:
         """Return the rules filed for a request, in the order of the rules."""
         path = request.path
-        found = self.exact.get(path, [])
-        for kind, files in self.equal.items():
-            value = value_of(kind, request)
-            if value in files:
-                found = found + files[value]
+        found = self.by_path.get(path, [])
+        for operand, buckets in self.by_value.items():
+            value = request_value(operand, request)
+            if value in buckets:
+                found = found + buckets[value]
         end = 0
         while end >= 0:
-            more = self.under.get(path[:end])
-            if more:
-                found = found + more if found else more
+            matching = self.by_prefix.get(path[:end])
+            if matching:
+                found = found + matching if found else matching
             end = path.find("/", end + 1)
-        more = self.under.get(path) if path else None
-        if more:
-            found = found + more if found else more
+        matching = self.by_prefix.get(path) if path else None
+        if matching:
+            found = found + matching if found else matching
         return sorted(found, key=_index_of)
 
 
@@ -131,7 +139,7 @@
     def __init__(self, rules: tuple[Rule, ...]) -> None:
         self.rules = rules
         self.by_method: dict[str, MethodIndex] = {}
-        self.any_method = MethodIndex()
+        self.other_methods = MethodIndex()
         methods = {
             value
             for rule in rules
@@ -141,7 +149,7 @@
         }
         for method in methods:
             self.by_method[method] = self.build_index(method)
-        self.any_method = self.build_index(None)
+        self.other_methods = self.build_index(None)
 
     def build_index(self, method: str | None) -> MethodIndex:
         """File the rules that a method can meet; None is any unnamed method."""
@@ -156,10 +164,10 @@
 
     def decide(self, request: RequestHead) -> Decision:
         """Return the first rule whose conditions all hold."""
-        index = self.by_method.get(request.method, self.any_method)
+        index = self.by_method.get(request.method, self.other_methods)
         for candidate in index.candidates(request):
             for condition in candidate.rest:
-                if not holds(condition, request):
+                if not matches(condition, request):
                     break
             else:
                 return Decision(self.rules[candidate.index], candidate.index)
@@ -169,7 +177,9 @@
         """Return the decision and the condition that each earlier rule fails."""
         decision = self.decide(request)
         earlier = self.rules if decision.rule is None else self.rules[: decision.index]
-        return Explanation(decision, tuple(_miss(rule, request) for rule in earlier))
+        return Explanation(
+            decision, tuple(_first_mismatch(rule, request) for rule in earlier)
+        )
 
 
 def compile_rules(rules: tuple[Rule, ...]) -> Matcher:
@@ -177,9 +187,9 @@
     return Matcher(rules)
 
 
-def _miss(rule: Rule, request: RequestHead) -> Miss:
-    condition = next(each for each in rule.when if not holds(each, request))
-    return Miss(rule, condition, value_of(condition, request))
+def _first_mismatch(rule: Rule, request: RequestHead) -> Mismatch:
+    condition = next(each for each in rule.when if not matches(each, request))
+    return Mismatch(rule, condition, request_value(condition, request))
 
 
 def _index_of(candidate: Candidate) -> int:
@@ -190,5 +200,5 @@
     return condition.field is Field.METHOD and condition.comparison is Comparison.EXACT
 
 
-def _is_indexed(condition: Condition) -> bool:
-    return condition.field is Field.PATH and condition.comparison in INDEXED_PATHS
+def _is_indexed_path(condition: Condition) -> bool:
+    return condition.field is Field.PATH and condition.comparison in INDEXED_COMPARISONS
--- a/sequoiaspoke/core/rules/names.py
+++ b/sequoiaspoke/core/rules/names.py
@@ -8,15 +8,15 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 NAME_ALLOWED = "1 to 64 letters, digits, dots, dashes and underscores"
 TOKEN = re.compile(r"[A-Za-z0-9!#$%&'*+.^_`|~-]{1,128}")  # RFC 9110, names, methods
-NOT_PRINTED = re.compile(r"[\x00-\x1f\x7f\ud800-\udfff]")
+UNPRINTABLE = re.compile(r"[\x00-\x1f\x7f\ud800-\udfff]")
 
 
-def shown(text: str) -> str:
+def printable(text: str) -> str:
     """Return text in a form that any log or terminal takes."""
     return text if NAME.fullmatch(text) else ascii(text[:80])
 
 
-def is_ip_number(text: str) -> bool:
+def is_ip_address(text: str) -> bool:
     """Tell whether a text is an IP number without a scope."""
     if "%" in text:
         return False
--- a/sequoiaspoke/core/rules/parse.py
+++ b/sequoiaspoke/core/rules/parse.py
@@ -33,7 +33,7 @@
 
     from sequoiaspoke.ini import IniSection, IniValue
 
-DEFAULTS = "defaults"
+DEFAULTS_SECTION = "defaults"
 ALWAYS = "always"
 TARGET = "target"
 YES_NO = {"yes": True, "no": False}
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Location:
     """A file and a line of the declarations."""
 
     file: str
@@ -61,15 +61,15 @@
 
     rules: tuple[Rule, ...] = ()
     services: tuple[Service, ...] = ()
-    places: dict[tuple[str, str], Place] = field(default_factory=dict)
+    locations: dict[tuple[str, str], Location] = field(default_factory=dict)
 
     def locate(self, problem: Problem) -> Problem:
         """Add the file and the line of the key that a problem is about."""
-        place = self.places.get((problem.section, problem.key))
-        place = place or self.places.get((problem.section, ""))
-        if place is None:
+        location = self.locations.get((problem.section, problem.key))
+        location = location or self.locations.get((problem.section, ""))
+        if location is None:
             return problem
-        return dataclasses.replace(problem, file=place.file, line=place.line)
+        return dataclasses.replace(problem, file=location.file, line=location.line)
 
 
 def parse_declarations(files: Mapping[str, str]) -> Declarations:
@@ -80,19 +80,19 @@
     DeclarationsError
         Some text cannot be read; names every problem with file and line.
     """
-    reader = Reader()
+    parser = DeclarationsParser()
     for name in sorted(files):
-        reader.read(name, files[name])
-    return reader.declarations()
+        parser.read(name, files[name])
+    return parser.build()
 
 
-class Reader:
+class DeclarationsParser:
     """Collects sections and problems file by file."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
         self.sections: list[IniSection] = []
-        self.places: dict[tuple[str, str], Place] = {}
+        self.locations: dict[tuple[str, str], Location] = {}
         self.defaults = CallPolicy()
         self.has_defaults = False
 
@@ -101,8 +101,8 @@
         ini = parse_ini(text, file)
         self.problems.extend(ini.problems)
         for section in ini.sections:
-            self.note_places(section)
-            if section.name == DEFAULTS:
+            self.record_locations(section)
+            if section.name == DEFAULTS_SECTION:
                 self.read_defaults(section)
                 continue
             kind, _, name = section.name.partition(" ")
@@ -114,21 +114,23 @@
                 self.report(f"bad name; allowed: {NAME_ALLOWED}", section)
             self.sections.append(section)
 
-    def note_places(self, section: IniSection) -> None:
+    def record_locations(self, section: IniSection) -> None:
         """Remember where a section and its keys stand."""
-        self.places.setdefault((section.name, ""), Place(section.file, section.line))
+        self.locations.setdefault(
+            (section.name, ""), Location(section.file, section.line)
+        )
         for key, value in section.values.items():
-            place = Place(section.file, value.line)
-            self.places.setdefault((section.name, key), place)
+            location = Location(section.file, value.line)
+            self.locations.setdefault((section.name, key), location)
 
-    def check_names_once(self) -> None:
+    def drop_duplicates(self) -> None:
         """Keep the first section of each name and report the others."""
         seen: dict[str, IniSection] = {}
         for section in self.sections:
             first = seen.setdefault(section.name, section)
             if first is not section:
-                place = f"{first.file}:{first.line}"
-                self.report(f"duplicate name; the first is in {place}", section)
+                location = f"{first.file}:{first.line}"
+                self.report(f"duplicate name; the first is in {location}", section)
         self.sections = list(seen.values())
 
     def read_defaults(self, section: IniSection) -> None:
@@ -140,7 +142,7 @@
         self.defaults = self.read_policy(section, values)
         self.report_unknown(section, values, POLICY_KEYS)
 
-    def declarations(self) -> Declarations:
+    def build(self) -> Declarations:
         """Turn the sections into rules and services.
 
         Raises
@@ -148,7 +150,7 @@
         DeclarationsError
             Some section cannot be read.
         """
-        self.check_names_once()
+        self.drop_duplicates()
         rules, services = [], []
         for section in self.sections:
             kind, _, name = section.name.partition(" ")
@@ -158,13 +160,13 @@
                 services.append(self.read_service(section, name.strip()))
         if self.problems:
             raise DeclarationsError(tuple(self.problems))
-        return Declarations(tuple(rules), tuple(services), self.places)
+        return Declarations(tuple(rules), tuple(services), self.locations)
 
     def read_rule(self, section: IniSection, name: str) -> Any:
         """Read one rule."""
         values = dict(section.values)
-        when = self.take(section, values, "when", _parse_when)
-        then = self.take(section, values, "then", parse_action)
+        when = self.pop_value(section, values, "when", _parse_when)
+        then = self.pop_value(section, values, "then", parse_action)
         policy = self.read_policy(section, values)
         self.report_unknown(section, values, ("when", "then", *POLICY_KEYS))
         return Rule(name, when, then, policy, section.file, section.line)
@@ -174,7 +176,7 @@
     ) -> CallPolicy:
         """Read the policy keys of a section."""
         given = {
-            attribute: self.take(section, values, key, parse)
+            attribute: self.pop_value(section, values, key, parse)
             for key, (attribute, parse) in POLICY_KEYS.items()
             if key in values
         }
@@ -184,7 +186,7 @@
         """Read one service and its endpoints."""
         values = dict(section.values)
         common = {
-            key: self.take(section, values, key, _parse_count)
+            key: self.pop_value(section, values, key, _parse_count)
             for key in ENDPOINT_NUMBERS
             if key in values
         }
@@ -192,7 +194,7 @@
         for key in section.values:
             kind, _, target = key.partition(" ")
             if kind == TARGET and target.strip():
-                text = self.take(section, values, key, _parse_pairs)
+                text = self.pop_value(section, values, key, _parse_pairs)
                 if text is not None:
                     endpoint = self.read_endpoint(section, key, {**common, **text})
                     endpoints.append(endpoint)
@@ -211,7 +213,7 @@
             return None
         return Endpoint(target=target, **given)
 
-    def take(
+    def pop_value(
         self,
         section: IniSection,
         values: dict[str, IniValue],
@@ -231,11 +233,11 @@
         return None
 
     def report_unknown(
-        self, section: IniSection, left: dict[str, IniValue], known: Any
+        self, section: IniSection, unread: dict[str, IniValue], allowed: Any
     ) -> None:
         """Report the keys that nobody asked for."""
-        for key in left:
-            self.report(f"unknown key; allowed: {', '.join(known)}", section, key)
+        for key in unread:
+            self.report(f"unknown key; allowed: {', '.join(allowed)}", section, key)
 
     def report(self, message: str, section: IniSection, key: str = "") -> None:
         """Add a problem with its place."""
--- a/sequoiaspoke/core/rules/reach.py
+++ b/sequoiaspoke/core/rules/reach.py
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.rules.compare import (
-    accepts,
-    is_under,
+    has_path_prefix,
     is_wildcard,
-    literal_stem,
+    literal_prefix,
+    matches_value,
 )
 from sequoiaspoke.core.rules.model import Comparison, Field
 from sequoiaspoke.errors import Problem
@@ -24,7 +24,7 @@
     from sequoiaspoke.core.rules.model import Condition, Rule
 
 
-def unreachable(rules: tuple[Rule, ...]) -> tuple[Problem, ...]:
+def unreachable_rules(rules: tuple[Rule, ...]) -> tuple[Problem, ...]:
     """Return a warning for each rule that an earlier one covers."""
     return tuple(_warnings(rules))
 
@@ -63,19 +63,19 @@
 
 def _value_implies(given: Condition, value: str, wanted: Condition) -> bool:
     if given.comparison is Comparison.EXACT:
-        return accepts(wanted, value)
+        return matches_value(wanted, value)
     if given.comparison is Comparison.SEGMENTS:
         return any(_pattern_implies(value, wanted, each) for each in wanted.values)
     if wanted.comparison is not Comparison.PREFIX:
         return False
     if given.field is Field.PATH:
-        return any(is_under(value.rstrip("/"), each) for each in wanted.values)
+        return any(has_path_prefix(value.rstrip("/"), each) for each in wanted.values)
     return value.startswith(wanted.values)
 
 
 def _pattern_implies(pattern: str, wanted: Condition, value: str) -> bool:
     if wanted.comparison is Comparison.PREFIX:
-        return is_under(literal_stem(pattern), value)
+        return has_path_prefix(literal_prefix(pattern), value)
     if wanted.comparison is not Comparison.SEGMENTS:
         return pattern == value and not any(map(is_wildcard, pattern.split("/")))
     segments, others = pattern.split("/"), value.split("/")
--- a/sequoiaspoke/core/rules/request.py
+++ b/sequoiaspoke/core/rules/request.py
@@ -36,11 +36,11 @@
     for name, value in headers:
         by_name.setdefault(name.lower(), value)
     return RequestHead(
-        method.upper(), normal_path(path), host, by_name, _parse_query(query), zone
+        method.upper(), normalize_path(path), host, by_name, _parse_query(query), zone
     )
 
 
-def normal_path(path: str) -> str:
+def normalize_path(path: str) -> str:
     """Decode a path, drop empty and dot segments, and keep encoded slashes."""
     if "%" not in path and "//" not in path and "/." not in path and path:
         return path
@@ -51,8 +51,8 @@
             segments = segments[:-1]
         elif segment not in ("", "."):
             segments.append(segment)
-    ends_open = path.endswith(("/", "/.", "/.."))
-    return "/" + "/".join(segments) + ("/" if ends_open and segments else "")
+    trailing_slash = path.endswith(("/", "/.", "/.."))
+    return "/" + "/".join(segments) + ("/" if trailing_slash and segments else "")
 
 
 def _parse_query(query: str) -> dict[str, str]:
--- a/sequoiaspoke/core/rules/validate.py
+++ b/sequoiaspoke/core/rules/validate.py
@@ -22,8 +22,14 @@
     Refuse,
     RouteTo,
 )
-from sequoiaspoke.core.rules.names import NAME, NAME_ALLOWED, NOT_PRINTED, TOKEN, shown
-from sequoiaspoke.core.rules.validservice import check_service, shared_places
+from sequoiaspoke.core.rules.names import (
+    NAME,
+    NAME_ALLOWED,
+    TOKEN,
+    UNPRINTABLE,
+    printable,
+)
+from sequoiaspoke.core.rules.validservice import check_service, duplicate_endpoints
 from sequoiaspoke.errors import Problem
 
 if TYPE_CHECKING:
@@ -39,14 +45,14 @@
 MAX_TIMEOUT = 3600.0  # seconds; a longer call would outlive any planned stop
 MAX_ATTEMPTS = 10
 MAX_WEIGHT = 1_000_000
-MAX_VALUE = 4096  # characters of a condition's value or a location
+MAX_VALUE_LENGTH = 4096  # characters of a condition's value or a location
 MAX_RULES = 5000  # building the matcher of more would hold up calls
 MAX_METHODS = 16  # each named method costs the matcher an index of its own
-REDIRECTS = (301, 302, 303, 307, 308)
+REDIRECT_CODES = (301, 302, 303, 307, 308)
 REASON = re.compile(r"[a-z0-9][a-z0-9-]{0,63}")
 LOCATION = re.compile(r"(https?://[^\s/]+)?(/[^\s]*)?")
-KEY_HEADER = "idempotency-key"
-COMPARISONS = {
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+ALLOWED_COMPARISONS = {
     Field.METHOD: (Comparison.EXACT,),
     Field.HOST: (Comparison.EXACT,),
     Field.ZONE: (Comparison.EXACT,),
@@ -57,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Accepted:
+class UnchangedParts:
     """What has not changed since a version that had no error.
 
     Attributes
@@ -75,7 +81,7 @@
 def validate(
     rules: Iterable[Rule],
     services: Iterable[Service],
-    accepted: Accepted | None = None,
+    unchanged: UnchangedParts | None = None,
 ) -> tuple[Problem, ...]:
     """Return every error and warning in a version, in the order of its parts.
 
@@ -88,24 +94,24 @@
         What need not be looked at by itself again. The answer stays the same
         but for warnings.
     """
-    accepted = accepted or Accepted()
+    unchanged = unchanged or UnchangedParts()
     rules, services = tuple(rules), tuple(services)
-    sizes = {service.name: len(service.endpoints) for service in services}
+    endpoint_counts = {service.name: len(service.endpoints) for service in services}
     zones = {each.zone for service in services for each in service.endpoints}
-    problems = list(_duplicates("rule", (rule.name for rule in rules)))
-    problems += _duplicates("service", (service.name for service in services))
-    problems += _methods(rules)
+    problems = list(_check_names("rule", (rule.name for rule in rules)))
+    problems += _check_names("service", (service.name for service in services))
+    problems += _check_method_count(rules)
     if len(rules) > MAX_RULES:
         problems.append(Problem(f"{len(rules)} rules; allowed: {MAX_RULES}"))
     if not rules:
         problems.append(Problem("no rule: every request is refused", warning=True))
-    if not accepted.rules or not _routes_hold(rules, sizes):
+    if not unchanged.rules or not _routes_have_endpoints(rules, endpoint_counts):
         for rule in rules:
-            problems += _rule(rule, sizes, zones)
+            problems += _check_rule(rule, endpoint_counts, zones)
     for service in services:
-        if service.name not in accepted.services:
+        if service.name not in unchanged.services:
             problems += check_service(service)
-    problems += shared_places(services)
+    problems += duplicate_endpoints(services)
     return tuple(problems)
 
 
@@ -114,18 +120,19 @@
     return tuple(problem for problem in problems if not problem.warning)
 
 
-def _duplicates(kind: str, names: Iterable[str]) -> Iterator[Problem]:
+def _check_names(kind: str, names: Iterable[str]) -> Iterator[Problem]:
     for name, count in Counter(names).items():
         if count > 1:
             yield Problem(
-                f"duplicate name, given {count} times", section=f"{kind} {shown(name)}"
+                f"duplicate name, given {count} times",
+                section=f"{kind} {printable(name)}",
             )
         if not NAME.fullmatch(name):
             message = f"bad name; allowed: {NAME_ALLOWED}"
-            yield Problem(message, section=f"{kind} {shown(name)}")
+            yield Problem(message, section=f"{kind} {printable(name)}")
 
 
-def _methods(rules: tuple[Rule, ...]) -> Iterator[Problem]:
+def _check_method_count(rules: tuple[Rule, ...]) -> Iterator[Problem]:
     methods = {
         value
         for rule in rules
@@ -137,131 +144,141 @@
         yield Problem(f"{len(methods)} different methods; allowed: {MAX_METHODS}")
 
 
-def _routes_hold(rules: tuple[Rule, ...], sizes: dict[str, int]) -> bool:
+def _routes_have_endpoints(
+    rules: tuple[Rule, ...], endpoint_counts: dict[str, int]
+) -> bool:
     return all(
-        sizes.get(part.service, 0) > 0
+        endpoint_counts.get(part.service, 0) > 0
         for rule in rules
         if isinstance(rule.then, RouteTo)
         for part in rule.then.split
     )
 
 
-def _rule(rule: Rule, sizes: dict[str, int], zones: set[str]) -> list[Problem]:
+def _check_rule(
+    rule: Rule, endpoint_counts: dict[str, int], zones: set[str]
+) -> list[Problem]:
     problems = []
 
-    def add(key: str, message: str, warning: bool = False) -> None:
-        section = f"rule {shown(rule.name)}"
+    def add_problem(key: str, message: str, warning: bool = False) -> None:
+        section = f"rule {printable(rule.name)}"
         problem = Problem(message, rule.file, rule.line, section, key, warning)
         problems.append(problem)
 
     for condition in rule.when:
-        for message in _condition(condition):
-            add("when", message)
+        for message in _check_condition(condition):
+            add_problem("when", message)
         if condition.field is Field.ZONE:
             for zone in sorted(set(condition.values) - zones):
-                add("when", f"no endpoint is in zone {shown(zone)}", warning=True)
-    for message in _action(rule, sizes):
-        add("then", message)
-    for key, message in _policy(rule):
-        add(key, message)
+                add_problem(
+                    "when", f"no endpoint is in zone {printable(zone)}", warning=True
+                )
+    for message in _check_action(rule, endpoint_counts):
+        add_problem("then", message)
+    for key, message in _check_policy(rule):
+        add_problem(key, message)
     if _retries_without_key(rule):
         message = (
             "only calls with an Idempotency-Key may be tried again; "
             "allowed: attempts = 1, or a condition: header idempotency-key present"
         )
-        add("attempts", message, warning=True)
+        add_problem("attempts", message, warning=True)
     return problems
 
 
-def _condition(condition: Condition) -> Iterator[str]:
+def _check_condition(condition: Condition) -> Iterator[str]:
     field = condition.field
-    if condition.comparison not in COMPARISONS[field]:
+    if condition.comparison not in ALLOWED_COMPARISONS[field]:
         yield f"{field.value} cannot be compared by {condition.comparison.value}"
         return
     if field is Field.HEADER:
         if not TOKEN.fullmatch(condition.name) or condition.name.lower() != (
             condition.name
         ):
-            yield f"bad header name {shown(condition.name)}"
+            yield f"bad header name {printable(condition.name)}"
     elif field is Field.QUERY:
-        if not condition.name or NOT_PRINTED.search(condition.name):
-            yield f"bad parameter name {shown(condition.name)}"
+        if not condition.name or UNPRINTABLE.search(condition.name):
+            yield f"bad parameter name {printable(condition.name)}"
     elif condition.name:
         yield f"{field.value} takes no name"
     if (condition.comparison is Comparison.PRESENT) == bool(condition.values):
         yield f"{field.value} has no value, or one that present does not take"
     for value in condition.values:
-        yield from _value(condition, value)
+        yield from _check_value(condition, value)
 
 
-def _value(condition: Condition, value: str) -> Iterator[str]:
-    if len(value) > MAX_VALUE or NOT_PRINTED.search(value) or '"' in value:
-        yield f"bad value {shown(value)}"
+def _check_value(condition: Condition, value: str) -> Iterator[str]:
+    if len(value) > MAX_VALUE_LENGTH or UNPRINTABLE.search(value) or '"' in value:
+        yield f"bad value {printable(value)}"
     elif condition.field is Field.METHOD and not TOKEN.fullmatch(value):
-        yield f"bad method {shown(value)}"
+        yield f"bad method {printable(value)}"
     elif condition.field is Field.HOST and value != value.lower():
-        yield f"host {shown(value)} is not in lower case"
+        yield f"host {printable(value)} is not in lower case"
     elif condition.field is Field.PATH:
-        yield from _path(condition, value)
+        yield from _check_path(condition, value)
 
 
-def _path(condition: Condition, value: str) -> Iterator[str]:
+def _check_path(condition: Condition, value: str) -> Iterator[str]:
     if not value.startswith("/") or "?" in value or "#" in value:
-        yield f"path {shown(value)} must begin with / and has no query"
+        yield f"path {printable(value)} must begin with / and has no query"
     if condition.comparison is not Comparison.SEGMENTS:
         return
     for segment in value.split("/"):
         if not is_wildcard(segment) and set(segment) & set("{}*"):
-            yield f"segment {shown(segment)} is neither plain nor one wildcard"
+            yield f"segment {printable(segment)} is neither plain nor one wildcard"
 
 
-def _action(rule: Rule, sizes: dict[str, int]) -> Iterator[str]:
+def _check_action(rule: Rule, endpoint_counts: dict[str, int]) -> Iterator[str]:
     action = rule.then
     if isinstance(action, RouteTo):
-        yield from _route(action, sizes)
+        yield from _check_route(action, endpoint_counts)
     elif isinstance(action, Redirect):
-        if action.status not in REDIRECTS:
-            yield f"bad redirect status; allowed: {', '.join(map(str, REDIRECTS))}"
+        if action.status not in REDIRECT_CODES:
+            yield f"bad redirect status; allowed: {', '.join(map(str, REDIRECT_CODES))}"
         location = action.location
         if (
             not location
             or not LOCATION.fullmatch(location)
-            or len(location) > (MAX_VALUE)
+            or len(location) > MAX_VALUE_LENGTH
         ):
-            yield f"bad location {shown(location)}; allowed: /PATH or an http(s) URL"
-        elif not location.isascii() or NOT_PRINTED.search(location):
-            yield f"bad location {shown(location)}; allowed: ASCII without controls"
+            yield (
+                f"bad location {printable(location)}; allowed: /PATH or an http(s) URL"
+            )
+        elif not location.isascii() or UNPRINTABLE.search(location):
+            yield f"bad location {printable(location)}; allowed: ASCII without controls"
     elif isinstance(action, Refuse):
         if not 400 <= action.status <= 599:
             yield "bad refusal status; allowed: 400 to 599"
         if not REASON.fullmatch(action.reason):
-            yield f"bad reason {shown(action.reason)}; allowed: a-z, 0-9 and dashes"
+            yield f"bad reason {printable(action.reason)}; allowed: a-z, 0-9 and dashes"
 
 
-def _route(action: RouteTo, sizes: dict[str, int]) -> Iterator[str]:
+def _check_route(action: RouteTo, endpoint_counts: dict[str, int]) -> Iterator[str]:
     if sum(part.weight for part in action.split if part.weight > 0) == 0:
         yield "the weights add up to 0, so no service would get a call"
     header = action.sticky_header
     if header and (not TOKEN.fullmatch(header) or header != header.lower()):
-        yield f"bad header name {shown(header)} after sticky"
+        yield f"bad header name {printable(header)} after sticky"
     for name, count in Counter(part.service for part in action.split).items():
         if count > 1:
-            yield f"service {shown(name)} stands {count} times in the split"
+            yield f"service {printable(name)} stands {count} times in the split"
     for part in action.split:
-        yield from _share(part, sizes)
+        yield from _check_split_part(part, endpoint_counts)
 
 
-def _share(part: WeightedService, sizes: dict[str, int]) -> Iterator[str]:
-    name = shown(part.service)
+def _check_split_part(
+    part: WeightedService, endpoint_counts: dict[str, int]
+) -> Iterator[str]:
+    name = printable(part.service)
     if not 0 <= part.weight <= MAX_WEIGHT:
         yield f"weight of {name} out of range; allowed: 0 to {MAX_WEIGHT}"
-    if part.service not in sizes:
+    if part.service not in endpoint_counts:
         yield f"unknown service {name}"
-    elif sizes[part.service] == 0 and part.weight > 0:
+    elif endpoint_counts[part.service] == 0 and part.weight > 0:
         yield f"service {name} has no endpoint"
 
 
-def _policy(rule: Rule) -> Iterator[tuple[str, str]]:
+def _check_policy(rule: Rule) -> Iterator[tuple[str, str]]:
     policy = rule.policy
     if not 0 < policy.timeout <= MAX_TIMEOUT:  # NaN fails this too
         message = f"found {policy.timeout:g}; allowed: over 0 to {MAX_TIMEOUT:g} s"
@@ -270,14 +287,14 @@
         yield "attempts", f"allowed: 1 to {MAX_ATTEMPTS}"
     header = policy.caller_header
     if header and (not TOKEN.fullmatch(header) or header != header.lower()):
-        yield "caller", f"bad header name {shown(header)}"
+        yield "caller", f"bad header name {printable(header)}"
 
 
 def _retries_without_key(rule: Rule) -> bool:
     if not isinstance(rule.then, RouteTo) or rule.policy.idempotent:
         return False
     keyed = any(
-        condition.field is Field.HEADER and condition.name == KEY_HEADER
+        condition.field is Field.HEADER and condition.name == IDEMPOTENCY_KEY_HEADER
         for condition in rule.when
     )
     return rule.policy.attempts > 1 and not keyed
--- a/sequoiaspoke/core/rules/validservice.py
+++ b/sequoiaspoke/core/rules/validservice.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.rules.names import NAME, is_ip_number, shown
+from sequoiaspoke.core.rules.names import NAME, is_ip_address, printable
 from sequoiaspoke.errors import Problem
 
 if TYPE_CHECKING:
@@ -19,55 +19,56 @@
 
 def check_service(service: Service) -> Iterator[Problem]:
     """Yield what is wrong with one service."""
-    section = f"service {shown(service.name)}"
+    section = f"service {printable(service.name)}"
     for endpoint in service.endpoints:
-        key = f"target {shown(endpoint.target)}"
-        for message in _endpoint(endpoint):
+        key = f"target {printable(endpoint.target)}"
+        for message in _check_endpoint(endpoint):
             yield Problem(message, section=section, key=key)
         if endpoint.connections < endpoint.slots:
             message = "fewer connections than slots: some slots cannot be used"
             yield Problem(message, section=section, key=key, warning=True)
 
 
-def _endpoint(endpoint: Endpoint) -> Iterator[str]:
+def _check_endpoint(endpoint: Endpoint) -> Iterator[str]:
     names = {"target": endpoint.target, "vm": endpoint.vm, "zone": endpoint.zone}
-    for what, name in names.items():
+    for field, name in names.items():
         if not NAME.fullmatch(name):
-            yield f"bad {what} name {shown(name)}"
-    if not is_ip_number(endpoint.address):
-        yield f"bad address {shown(endpoint.address)}; allowed: an IP number"
+            yield f"bad {field} name {printable(name)}"
+    if not is_ip_address(endpoint.address):
+        yield f"bad address {printable(endpoint.address)}; allowed: an IP number"
     numbers = (
         ("mesh_port", endpoint.mesh_port, MAX_PORT),
         ("slots", endpoint.slots, MAX_SLOTS),
         ("connections", endpoint.connections, MAX_CONNECTIONS),
     )
-    for what, number, most in numbers:
-        if not 1 <= number <= most:
-            yield f"{what} out of range; allowed: 1 to {most}"
+    for field, value, maximum in numbers:
+        if not 1 <= value <= maximum:
+            yield f"{field} out of range; allowed: 1 to {maximum}"
 
 
-def shared_places(services: tuple[Service, ...]) -> Iterator[Problem]:
+def duplicate_endpoints(services: tuple[Service, ...]) -> Iterator[Problem]:
     """Yield the targets whose name, VM or address another one has."""
     # A node is the home of one target. Were two targets named at one node, or
     # one target at two, the second would find a node that refuses its calls.
-    if _places_differ(services):
+    if _all_distinct(services):
         return
     seen: dict[tuple[str, str], str] = {}
     for service in services:
         for endpoint in service.endpoints:
-            for what in _claims(endpoint):
-                if what not in seen:
-                    seen[what] = service.name
+            for identity in _identities(endpoint):
+                if identity not in seen:
+                    seen[identity] = service.name
                     continue
-                kind, name = what
+                kind, name = identity
                 yield Problem(
-                    f"duplicate {kind} {shown(name)}, also in {shown(seen[what])}",
-                    section=f"service {shown(service.name)}",
-                    key=f"target {shown(endpoint.target)}",
+                    f"duplicate {kind} {printable(name)}, "
+                    f"also in {printable(seen[identity])}",
+                    section=f"service {printable(service.name)}",
+                    key=f"target {printable(endpoint.target)}",
                 )
 
 
-def _places_differ(services: tuple[Service, ...]) -> bool:
+def _all_distinct(services: tuple[Service, ...]) -> bool:
     # Nearly always true, and much quicker to see than to say what is shared.
     endpoints = [each for service in services for each in service.endpoints]
     return (
@@ -78,6 +79,6 @@
     )
 
 
-def _claims(endpoint: Endpoint) -> tuple[tuple[str, str], ...]:
-    place = f"{endpoint.address}-{endpoint.mesh_port % 100_000}"
-    return ("target", endpoint.target), ("vm", endpoint.vm), ("address", place)
+def _identities(endpoint: Endpoint) -> tuple[tuple[str, str], ...]:
+    socket_address = f"{endpoint.address}-{endpoint.mesh_port % 100_000}"
+    return ("target", endpoint.target), ("vm", endpoint.vm), ("address", socket_address)
--- a/sequoiaspoke/core/snapshot/codec.py
+++ b/sequoiaspoke/core/snapshot/codec.py
@@ -13,7 +13,7 @@
 from cattrs.strategies import configure_tagged_union
 
 from sequoiaspoke.core.rules import model as rules_model
-from sequoiaspoke.core.rules.names import is_ip_number
+from sequoiaspoke.core.rules.names import is_ip_address
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.core.snapshot import model as snapshot_model
 from sequoiaspoke.core.snapshot.model import Head, VmList
@@ -212,5 +212,5 @@
     for vm in vms.vms:
         named = VM_NAME.fullmatch(vm.name) and VM_NAME.fullmatch(vm.zone)
         port = 0 <= vm.peer_port <= LARGEST_PORT
-        if not named or not port or not is_ip_number(vm.address):
+        if not named or not port or not is_ip_address(vm.address):
             raise DocumentError(f"bad VM {ascii(vm.name[:80])}")
--- a/sequoiaspoke/core/snapshot/install.py
+++ b/sequoiaspoke/core/snapshot/install.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.rules.matcher import compile_rules
-from sequoiaspoke.core.rules.validate import Accepted, errors_of, validate
+from sequoiaspoke.core.rules.validate import UnchangedParts, errors_of, validate
 from sequoiaspoke.core.snapshot import codec
 from sequoiaspoke.core.snapshot.model import RULES_PART, SERVICE_PREFIX, Snapshot
 from sequoiaspoke.errors import DocumentError, Problem, VersionRefusedError
@@ -34,8 +34,8 @@
     rules = _rules(head, store, before, problems)
     services = _services(head, store, before, problems)
     if not problems:
-        accepted = _unchanged(rules, services, before)
-        problems += errors_of(validate(rules, services.values(), accepted))
+        unchanged = _unchanged(rules, services, before)
+        problems += errors_of(validate(rules, services.values(), unchanged))
     if problems:
         raise VersionRefusedError(tuple(problems))
     if before and before.rules is rules:
@@ -45,14 +45,14 @@
 
 def _unchanged(
     rules: tuple[Rule, ...], services: dict[str, Service], before: Snapshot | None
-) -> Accepted:
+) -> UnchangedParts:
     # Looking at 2,000 endpoints again for each change of one holds up the loop,
     # and every call on it, for tens of milliseconds.
     if before is None:
-        return Accepted()
+        return UnchangedParts()
     known = before.services
     same = (name for name, held in services.items() if known.get(name) is held)
-    return Accepted(before.rules is rules, frozenset(same))
+    return UnchangedParts(before.rules is rules, frozenset(same))
 
 
 def _rules(
--- a/sequoiaspoke/measure/rules.py
+++ b/sequoiaspoke/measure/rules.py
@@ -17,7 +17,7 @@
     Rule,
     Service,
 )
-from sequoiaspoke.core.rules.reach import unreachable
+from sequoiaspoke.core.rules.reach import unreachable_rules
 from sequoiaspoke.core.rules.validate import validate
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.core.snapshot.publish import make_publication
@@ -64,7 +64,7 @@
         best(lambda: matcher.decide(none), DECISIONS) * MICROSECONDS,
         best(lambda: compile_rules(ordered)) * MILLISECONDS,
         best(lambda: validate(ordered, declared)) * MILLISECONDS,
-        best(lambda: unreachable(ordered)) * MILLISECONDS,
+        best(lambda: unreachable_rules(ordered)) * MILLISECONDS,
         sizes[f"parts/{parts['rules']}"],
         sizes[f"parts/{parts['service/s0']}"],
         sizes["head"],
--- a/sequoiaspoke/tests/test_rules.py
+++ b/sequoiaspoke/tests/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from sequoiaspoke.core.rules.compare import holds
+from sequoiaspoke.core.rules.compare import matches
 from sequoiaspoke.core.rules.diff import compare
 from sequoiaspoke.core.rules.grammar import describe_action, describe_conditions
 from sequoiaspoke.core.rules.matcher import compile_rules
@@ -24,8 +24,8 @@
     Service,
 )
 from sequoiaspoke.core.rules.parse import parse_declarations
-from sequoiaspoke.core.rules.reach import covers, unreachable
-from sequoiaspoke.core.rules.request import make_request_head, normal_path
+from sequoiaspoke.core.rules.reach import covers, unreachable_rules
+from sequoiaspoke.core.rules.request import make_request_head, normalize_path
 from sequoiaspoke.core.rules.validate import validate
 from sequoiaspoke.core.rules.weights import WeightedService
 from sequoiaspoke.errors import DeclarationsError
@@ -49,12 +49,14 @@
 def problems_of(text, file="a.ini"):
     declared = parse_declarations({file: text})
     found = validate(declared.rules, declared.services)
-    return [declared.locate(each) for each in (*found, *unreachable(declared.rules))]
+    return [
+        declared.locate(each) for each in (*found, *unreachable_rules(declared.rules))
+    ]
 
 
 def naive_index(rules, request):
     for index, rule in enumerate(rules):
-        if all(holds(condition, request) for condition in rule.when):
+        if all(matches(condition, request) for condition in rule.when):
             return index
     return -1
 
@@ -143,9 +145,11 @@
             explanation = matcher.explain(request)
             self.assertEqual(wanted, explanation.decision.index)
             earlier = rules if wanted < 0 else rules[:wanted]
-            self.assertEqual(earlier, tuple(miss.rule for miss in explanation.misses))
-            for miss in explanation.misses:
-                self.assertFalse(holds(miss.condition, request))
+            self.assertEqual(
+                earlier, tuple(each.rule for each in explanation.mismatches)
+            )
+            for each in explanation.mismatches:
+                self.assertFalse(matches(each.condition, request))
 
     def test_prefixes_end_on_a_segment(self):
         rules = parse_declarations(
@@ -171,8 +175,8 @@
 
     def test_spellings_of_one_path_are_one_path(self):
         for path in ("//a/b", "/a/./b", "/x/../a/b", "/%61/b", "/../a/b", "/a//b"):
-            self.assertEqual("/a/b", normal_path(path))
-        self.assertEqual("/a%2Fb/", normal_path("/a%2fb/."))
+            self.assertEqual("/a/b", normalize_path(path))
+        self.assertEqual("/a%2Fb/", normalize_path("/a%2fb/."))
 
     def test_the_first_of_repeated_fields_counts(self):
         head = make_request_head(
