--- a/sequoiaspoke/core/rules/__init__.py
+++ b/sequoiaspoke/core/rules/__init__.py
@@ -1,1 +1,1 @@
-"""Rules: parsing, matching and validation."""
+"""Parse, match and validate routing rules."""
--- a/sequoiaspoke/core/rules/compare.py
+++ b/sequoiaspoke/core/rules/compare.py
@@ -1,4 +1,8 @@
-"""What a condition means: the one place that compares it with a request."""
+"""Compare conditions with requests.
+
+The matcher and the check for unreachable rules both use these functions, so they agree
+on what a condition means.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 
 def matches(condition: Condition, request: RequestHead) -> bool:
-    """Tell whether a request meets a condition."""
+    """Return whether a request satisfies a condition."""
     value = request_value(condition, request)
     if value is None:
         return False
@@ -21,7 +25,7 @@
 
 
 def request_value(condition: Condition, request: RequestHead) -> str | None:
-    """Return the part of the request that a condition looks at."""
+    """Return the value that a condition is compared with, or None if it is absent."""
     if condition.field is Field.HEADER:
         return request.headers.get(condition.name)
     if condition.field is Field.QUERY:
@@ -36,7 +40,7 @@
 
 
 def matches_value(condition: Condition, value: str) -> bool:
-    """Tell whether a value satisfies a condition's comparison."""
+    """Return whether a value satisfies a condition's comparison."""
     if condition.comparison is Comparison.PRESENT:
         return True
     if condition.comparison is Comparison.EXACT:
@@ -49,7 +53,7 @@
 
 
 def host_name(host: str) -> str:
-    """Return a host in lower case and without its port."""
+    """Return the host name in lower case, without the port."""
     name, colon, port = host.rpartition(":")
     if colon and (port.isdigit() or not port):
         host = name
@@ -57,11 +61,11 @@
 
 
 def has_path_prefix(path: str, prefix: str) -> bool:
-    """Tell whether a path is the prefix itself or lies below it.
+    """Return whether a path equals a prefix or is below it.
 
-    Prefixes end on a segment's boundary, and a trailing slash of the prefix
-    does not count: `/billing` and `/billing/` both hold for `/billing` and
-    `/billing/7`, neither for `/billings`.
+    A prefix matches whole segments only, and its trailing slash is ignored:
+    `/billing` and `/billing/` both match `/billing` and `/billing/7`, but not
+    `/billings`.
     """
     stem = strip_trailing_slash(prefix)
     if not stem:
@@ -75,9 +79,9 @@
 
 
 def matches_pattern(path: str, pattern: str) -> bool:
-    """Tell whether a path has the segments of a pattern.
+    """Return whether a path matches a pattern segment by segment.
 
-    `*` and `{name}` stand for one segment that is not empty.
+    `*` and `{name}` match exactly one non-empty segment.
     """
     segments, expected_segments = path.split("/"), pattern.split("/")
     if len(segments) != len(expected_segments):
@@ -89,12 +93,12 @@
 
 
 def is_wildcard(segment: str) -> bool:
-    """Tell whether a pattern's segment stands for any segment."""
+    """Return whether a segment of a pattern is a wildcard."""
     return segment == WILDCARD or (segment.startswith("{") and segment.endswith("}"))
 
 
 def literal_prefix(pattern: str) -> str:
-    """Return the part of a pattern before its first wildcard, as a prefix."""
+    """Return the segments of a pattern before its first wildcard, as a path prefix."""
     literal = []
     for segment in pattern.split("/"):
         if is_wildcard(segment):
--- a/sequoiaspoke/core/rules/diff.py
+++ b/sequoiaspoke/core/rules/diff.py
@@ -1,4 +1,4 @@
-"""What changes from one set of declarations to another."""
+"""Compare two sets of declarations."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ChangeKind(Enum):
-    """How something differs."""
+    """Kind of a difference."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One difference; the detail is empty where the kind says all."""
+    """One difference; `detail` is empty if the kind is enough."""
 
     kind: ChangeKind
     subject: str
@@ -40,7 +40,7 @@
 
 
 def compare(old: Declarations, new: Declarations) -> tuple[Change, ...]:
-    """Return every difference: rules in their order, then services."""
+    """Return all differences: first those of rules, then those of services."""
     return (
         *_rule_changes(old.rules, new.rules),
         *_service_changes(old.services, new.services),
@@ -69,8 +69,8 @@
 
 
 def _moved_rules(old: list[str], new: list[str]) -> set[str]:
-    # Additions and removals shift the places of all rules behind them; only
-    # rules that changed their order among those that stay count as moved.
+    # Additions and removals shift the positions of all later rules. Only rules whose
+    # order changed relative to the other rules in both sets count as moved.
     old_order = [name for name in old if name in new]
     new_order = [name for name in new if name in old]
     matcher = difflib.SequenceMatcher(None, old_order, new_order, autojunk=False)
--- a/sequoiaspoke/core/rules/grammar.py
+++ b/sequoiaspoke/core/rules/grammar.py
@@ -1,4 +1,6 @@
-"""The text of conditions and actions, to and from their data.
+"""Parse and format the text of conditions and actions.
+
+Example:
 
 when = method POST; path prefix /billing/; header x-channel = app, "a, b"
 then = route billing 90, billing-new 10 sticky x-member
@@ -37,19 +39,19 @@
 
 
 def parse_conditions(text: str) -> tuple[Condition, ...]:
-    """Read the conditions of a `when`, separated by semicolons or lines.
+    """Parse the conditions of a `when`, separated by semicolons or line breaks.
 
     Raises
     ------
     DeclarationsError
-        The text is no list of conditions.
+        The text is not a list of conditions.
     """
     parts = (part.strip() for part in split_unquoted(text, ";\n"))
     return tuple(parse_condition(part) for part in parts if part)
 
 
 def parse_condition(text: str) -> Condition:
-    """Read one condition; see `parse_conditions`."""
+    """Parse one condition; raises as `parse_conditions` does."""
     field, _, rest = text.partition(" ")
     rest = rest.strip()
     if field in LISTED_FIELDS:
@@ -98,12 +100,12 @@
 
 
 def parse_action(text: str) -> Action:
-    """Read the action of a `then`.
+    """Parse the action of a `then`.
 
     Raises
     ------
     DeclarationsError
-        The text is no action.
+        The text is not an action.
     """
     word, _, rest = " ".join(text.split()).partition(" ")
     if word == "route" and rest:
@@ -138,14 +140,14 @@
 
 
 def whole_number(text: str, quantity: str) -> int:
-    """Read a whole number; see `parse_action`."""
+    """Parse a non-negative integer; `quantity` names it in the error message."""
     if not NUMBER.fullmatch(text):
         fail(f"found {text!r}; allowed: a whole number as {quantity}")
     return int(text)
 
 
 def split_unquoted(text: str, separators: str) -> list[str]:
-    """Split at separators that stand outside double quotes."""
+    """Split text at the separators that are outside double quotes."""
     parts = [""]
     quoted = False
     for char in text:
@@ -161,7 +163,7 @@
 
 
 def unquote(text: str) -> str:
-    """Take the double quotes off a value."""
+    """Return a value without surrounding space and double quotes."""
     text = text.strip()
     if '"' not in text:
         return text
@@ -172,12 +174,12 @@
 
 
 def fail(message: str) -> NoReturn:
-    """Report text that cannot be read."""
+    """Raise an error about text that cannot be parsed."""
     raise DeclarationsError((Problem(message),))
 
 
 def describe_condition(condition: Condition) -> str:
-    """Write a condition as `parse_condition` reads it."""
+    """Format a condition so that `parse_condition` can parse it."""
     field, comparison = condition.field, condition.comparison
     values = ", ".join(_quote(value) for value in condition.values)
     if field is Field.PATH:
@@ -190,12 +192,12 @@
 
 
 def describe_conditions(conditions: tuple[Condition, ...]) -> str:
-    """Write conditions as `parse_conditions` reads them."""
+    """Format conditions as the value of a `when`."""
     return "; ".join(describe_condition(each) for each in conditions) or "always"
 
 
 def describe_action(action: Action) -> str:
-    """Write an action as `parse_action` reads it."""
+    """Format an action so that `parse_action` can parse it."""
     if isinstance(action, Redirect):
         return f"redirect {action.status} {action.location}"
     if isinstance(action, Refuse):
--- a/sequoiaspoke/core/rules/matcher.py
+++ b/sequoiaspoke/core/rules/matcher.py
@@ -1,9 +1,9 @@
-"""Finds the first rule that a request meets.
+"""Find the first rule that matches a request.
 
-Each call asks once, so the cost adds to every call of the mesh. The matcher
-indexes the rules by method and then by path, or by an exact value where a rule
-names no path; a request is compared only with the rules filed under what it
-carries, in the order of the rules. Which rule wins never depends on the index.
+Every call is matched once, so the time taken here adds to the latency of every call.
+Rules are indexed by method and then by path, or by an exact value if a rule has no
+path condition. A request is compared only with the rules that the index returns, in
+the order of the rules. The index never changes which rule matches first.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """The rule that decides a request; `index` is -1 where none does."""
+    """The rule that matches a request; `index` is -1 if none does."""
 
     rule: Rule | None
     index: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Mismatch:
-    """A rule that a request does not meet, and the first condition that fails."""
+    """A rule that does not match a request, and its first condition that fails."""
 
     rule: Rule
     condition: Condition
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """A decision and why each earlier rule did not decide."""
+    """A decision and the reason why each earlier rule did not match."""
 
     decision: Decision
     mismatches: tuple[Mismatch, ...]
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A rule's place in the order and what the index leaves to compare."""
+    """A rule's position and the conditions that the index has not checked."""
 
     index: int
     rest: tuple[Condition, ...]
 
 
 class MethodIndex:
-    """The rules that one method can meet, filed under a path or a value."""
+    """Index of the rules for one method, by path or by value."""
 
     def __init__(self) -> None:
         self.by_value: dict[Condition, dict[str, list[Candidate]]] = {}
@@ -70,7 +70,7 @@
         self.by_prefix: dict[str, list[Candidate]] = {}
 
     def add(self, index: int, conditions: tuple[Condition, ...]) -> None:
-        """File one rule, whose method is known to hold."""
+        """Add a rule to the index; its method conditions are already satisfied."""
         for position, condition in enumerate(conditions):
             if _is_indexed_path(condition):
                 rest = conditions[:position] + conditions[position + 1 :]
@@ -86,7 +86,7 @@
     def add_value(
         self, condition: Condition, index: int, rest: tuple[Condition, ...]
     ) -> None:
-        """File one rule under each value of a host, header, query or zone."""
+        """Add a rule under each value of a host, header, query or zone condition."""
         operand = dataclasses.replace(condition, values=())
         buckets = self.by_value.setdefault(operand, {})
         for value in condition.values:
@@ -95,7 +95,7 @@
     def add_path(
         self, condition: Condition, index: int, rest: tuple[Condition, ...]
     ) -> None:
-        """File one rule under each of its paths."""
+        """Add a rule under each value of its path condition."""
         for value in condition.values:
             if condition.comparison is Comparison.EXACT:
                 buckets, key, remaining = self.by_path, value, rest
@@ -114,7 +114,7 @@
             buckets.setdefault(key, []).append(Candidate(index, remaining))
 
     def candidates(self, request: RequestHead) -> Iterable[Candidate]:
-        """Return the rules filed for a request, in the order of the rules."""
+        """Return the rules that may match a request, in the order of the rules."""
         path = request.path
         found = self.by_path.get(path, [])
         for operand, buckets in self.by_value.items():
@@ -134,7 +134,7 @@
 
 
 class Matcher:
-    """Decides which rule a request meets: the first whose conditions all hold."""
+    """Finds the first rule whose conditions are all satisfied."""
 
     def __init__(self, rules: tuple[Rule, ...]) -> None:
         self.rules = rules
@@ -152,7 +152,7 @@
         self.other_methods = self.build_index(None)
 
     def build_index(self, method: str | None) -> MethodIndex:
-        """File the rules that a method can meet; None is any unnamed method."""
+        """Index the rules for a method; None stands for methods that no rule names."""
         index = MethodIndex()
         for position, rule in enumerate(self.rules):
             named = [each for each in rule.when if _is_method(each)]
@@ -163,7 +163,7 @@
         return index
 
     def decide(self, request: RequestHead) -> Decision:
-        """Return the first rule whose conditions all hold."""
+        """Return the first rule that matches a request."""
         index = self.by_method.get(request.method, self.other_methods)
         for candidate in index.candidates(request):
             for condition in candidate.rest:
@@ -174,7 +174,7 @@
         return Decision(None, -1)
 
     def explain(self, request: RequestHead) -> Explanation:
-        """Return the decision and the condition that each earlier rule fails."""
+        """Return the decision and the condition that failed in each earlier rule."""
         decision = self.decide(request)
         earlier = self.rules if decision.rule is None else self.rules[: decision.index]
         return Explanation(
@@ -183,7 +183,7 @@
 
 
 def compile_rules(rules: tuple[Rule, ...]) -> Matcher:
-    """Build the matcher of an ordered set of rules."""
+    """Build a matcher for rules in their order of precedence."""
     return Matcher(rules)
 
 
--- a/sequoiaspoke/core/rules/model.py
+++ b/sequoiaspoke/core/rules/model.py
@@ -1,16 +1,16 @@
-"""Rules and the services they name, as plain data."""
+"""Data model of rules and services."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-# The codec of snapshots looks up the types of fields while it runs.
+# The snapshot codec resolves the types of fields at run time.
 from sequoiaspoke.core.rules.weights import WeightedService  # noqa: TC001
 
 
 class Comparison(Enum):
-    """How a condition compares its value."""
+    """Operator with which a condition compares a value."""
 
     EXACT = "exact"
     PREFIX = "prefix"
@@ -19,7 +19,7 @@
 
 
 class Field(Enum):
-    """The part of a request that a condition looks at."""
+    """Part of a request that a condition compares."""
 
     METHOD = "method"
     PATH = "path"
@@ -30,7 +30,7 @@
 
 
 class Priority(Enum):
-    """How long a call may wait for a slot before it is refused."""
+    """Priority of a call: how long it may wait for a slot before it is refused."""
 
     URGENT = "urgent"
     ORDINARY = "ordinary"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """One comparison; any of `values` satisfies it."""
+    """One comparison, satisfied if any of `values` matches."""
 
     field: Field
     comparison: Comparison
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class RouteTo:
-    """Send the call to one of the services of a split."""
+    """Route the call to one of the services of a split."""
 
     split: tuple[WeightedService, ...]
     sticky_header: str = ""
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Redirect:
-    """Answer with a redirection."""
+    """Answer the call with a redirect."""
 
     location: str
     status: int = 307
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Answer with a refusal."""
+    """Refuse the call."""
 
     status: int = 403
     reason: str = "refused-by-rule"
@@ -76,20 +76,21 @@
 
 @dataclass(frozen=True)
 class CallPolicy:
-    """What a rule says of the calls it decides.
+    """Settings that a rule applies to the calls it matches.
 
     Attributes
     ----------
     timeout : float
-        Seconds until the head of the answer; its body may take longer.
+        Seconds until the head of the answer must arrive; its body may take longer.
     attempts : int
-        Tries in all; 1 means no retry.
+        Attempts in total, the first one included; 1 means no retry.
     idempotent : bool
         Whether the call may run more than once.
     priority : Priority
-        How patient the caller is.
+        How long the call may wait for a slot.
     caller_header : str
-        Header that names the caller for fair shares; empty for the address.
+        Header that identifies the caller for fair sharing; if empty, the caller's
+        address does.
     """
 
     timeout: float = 10.0
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """When every condition holds, the action and the policy apply."""
+    """An action and a policy for requests that satisfy every condition."""
 
     name: str
     when: tuple[Condition, ...]
@@ -113,7 +114,7 @@
 
 @dataclass(frozen=True)
 class RequestHead:
-    """What rules see of a request; header names are lower case."""
+    """The part of a request that rules can match; header names are in lower case."""
 
     method: str
     path: str
@@ -130,13 +131,13 @@
     Attributes
     ----------
     vm : str
-        Name of the VM, which is also the node's name.
+        Name of the VM; the node on it has the same name.
     address : str
-        IP number of the VM.
+        IP address of the VM.
     mesh_port : int
-        TCP port on which that node takes calls from other nodes.
+        TCP port on which that node accepts calls from other nodes.
     slots : int
-        Calls that the target runs at once.
+        Calls that the target runs concurrently.
     connections : int
         Connections that the target accepts.
     """
--- a/sequoiaspoke/core/rules/parse.py
+++ b/sequoiaspoke/core/rules/parse.py
@@ -1,8 +1,9 @@
-"""Declarations: INI files with rules and services, read in the order of names.
+"""Parse declarations: INI files with rules and services.
 
-`[rule NAME]` sections keep their order over all files, and the first rule that
-a request meets decides. `[service NAME]` sections list endpoints, one a line.
-One `[defaults]` section may set the policy of rules that do not say their own.
+Files are read in the order of their names. `[rule NAME]` sections keep their order
+across all files, and the first rule that matches a request applies. `[service NAME]`
+sections list endpoints, one per line. One `[defaults]` section may set the policy
+values that a rule leaves out.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Location:
-    """A file and a line of the declarations."""
+    """A file and a line in the declarations."""
 
     file: str
     line: int
@@ -51,12 +52,12 @@
 
 @dataclass(frozen=True)
 class Declarations:
-    """What the files declare, and where each section and key stands.
+    """The parsed declarations and the location of each section and key.
 
     Attributes
     ----------
     places : dict
-        The place of each (section, key); the key is empty for a section.
+        Location of each (section, key); the key is empty for the section itself.
     """
 
     rules: tuple[Rule, ...] = ()
@@ -64,7 +65,7 @@
     locations: dict[tuple[str, str], Location] = field(default_factory=dict)
 
     def locate(self, problem: Problem) -> Problem:
-        """Add the file and the line of the key that a problem is about."""
+        """Return the problem with the file and line of its key or section."""
         location = self.locations.get((problem.section, problem.key))
         location = location or self.locations.get((problem.section, ""))
         if location is None:
@@ -73,12 +74,12 @@
 
 
 def parse_declarations(files: Mapping[str, str]) -> Declarations:
-    """Read the text of declaration files, given by their names.
+    """Parse declaration files, given as a mapping from file name to text.
 
     Raises
     ------
     DeclarationsError
-        Some text cannot be read; names every problem with file and line.
+        Some text cannot be parsed; lists every problem with its file and line.
     """
     parser = DeclarationsParser()
     for name in sorted(files):
@@ -97,7 +98,7 @@
         self.has_defaults = False
 
     def read(self, file: str, text: str) -> None:
-        """Read one file."""
+        """Parse the sections of one file."""
         ini = parse_ini(text, file)
         self.problems.extend(ini.problems)
         for section in ini.sections:
@@ -115,7 +116,7 @@
             self.sections.append(section)
 
     def record_locations(self, section: IniSection) -> None:
-        """Remember where a section and its keys stand."""
+        """Record the location of a section and of its keys."""
         self.locations.setdefault(
             (section.name, ""), Location(section.file, section.line)
         )
@@ -134,7 +135,7 @@
         self.sections = list(seen.values())
 
     def read_defaults(self, section: IniSection) -> None:
-        """Read the policy of rules that do not say their own."""
+        """Parse the default policy of rules."""
         if self.has_defaults:
             self.report("duplicate section; one [defaults] is allowed", section)
         self.has_defaults = True
@@ -143,12 +144,12 @@
         self.report_unknown(section, values, POLICY_KEYS)
 
     def build(self) -> Declarations:
-        """Turn the sections into rules and services.
+        """Build the rules and services from the collected sections.
 
         Raises
         ------
         DeclarationsError
-            Some section cannot be read.
+            Some section cannot be parsed.
         """
         self.drop_duplicates()
         rules, services = [], []
@@ -163,7 +164,7 @@
         return Declarations(tuple(rules), tuple(services), self.locations)
 
     def read_rule(self, section: IniSection, name: str) -> Any:
-        """Read one rule."""
+        """Parse one rule."""
         values = dict(section.values)
         when = self.pop_value(section, values, "when", _parse_when)
         then = self.pop_value(section, values, "then", parse_action)
@@ -174,7 +175,7 @@
     def read_policy(
         self, section: IniSection, values: dict[str, IniValue]
     ) -> CallPolicy:
-        """Read the policy keys of a section."""
+        """Parse the policy keys of a section."""
         given = {
             attribute: self.pop_value(section, values, key, parse)
             for key, (attribute, parse) in POLICY_KEYS.items()
@@ -183,7 +184,7 @@
         return dataclasses.replace(self.defaults, **given)
 
     def read_service(self, section: IniSection, name: str) -> Service:
-        """Read one service and its endpoints."""
+        """Parse one service and its endpoints."""
         values = dict(section.values)
         common = {
             key: self.pop_value(section, values, key, _parse_count)
@@ -205,7 +206,7 @@
     def read_endpoint(
         self, section: IniSection, key: str, given: dict[str, Any]
     ) -> Any:
-        """Read the line of one endpoint."""
+        """Build one endpoint from its parsed line; None if a key is missing."""
         target = key.partition(" ")[2].strip()
         missing = [each for each in (*ENDPOINT_TEXTS, "mesh_port") if each not in given]
         if missing:
@@ -220,7 +221,7 @@
         key: str,
         parse: Callable[[str], Any],
     ) -> Any:
-        """Remove a key and parse it; None where it is missing or wrong."""
+        """Remove a key and parse its value; None if it is missing or invalid."""
         value = values.pop(key, None)
         if value is None:
             self.report("missing", section, key)
@@ -235,12 +236,12 @@
     def report_unknown(
         self, section: IniSection, unread: dict[str, IniValue], allowed: Any
     ) -> None:
-        """Report the keys that nobody asked for."""
+        """Report the keys of a section that were not read."""
         for key in unread:
             self.report(f"unknown key; allowed: {', '.join(allowed)}", section, key)
 
     def report(self, message: str, section: IniSection, key: str = "") -> None:
-        """Add a problem with its place."""
+        """Record a problem with its location."""
         value = section.values.get(key)
         line = value.line if value else section.line
         self.problems.append(Problem(message, section.file, line, section.name, key))
--- a/sequoiaspoke/core/rules/reach.py
+++ b/sequoiaspoke/core/rules/reach.py
@@ -1,8 +1,8 @@
-"""Rules that no request can reach, because an earlier rule takes them all.
+"""Find rules that no request can reach because an earlier rule matches first.
 
-Only `check` asks this: it compares every rule with every earlier one, and a
-node must not spend that time between two calls. Nothing unsafe follows from an
-unreachable rule, so it is a warning.
+Every rule is compared with every earlier one, which takes too long for a node that
+serves calls; only `check` does it. An unreachable rule is harmless, so it is reported
+as a warning.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def unreachable_rules(rules: tuple[Rule, ...]) -> tuple[Problem, ...]:
-    """Return a warning for each rule that an earlier one covers."""
+    """Return a warning for each rule that a single earlier rule covers."""
     return tuple(_warnings(rules))
 
 
@@ -44,14 +44,17 @@
 
 
 def covers(earlier: Rule, later: Rule) -> bool:
-    """Tell whether each request that meets the later rule meets the earlier."""
+    """Return whether every request that matches the later rule matches the earlier.
+
+    Only pairs of conditions are compared, so some covered rules are not found.
+    """
     return all(
         any(implies(given, wanted) for given in later.when) for wanted in earlier.when
     )
 
 
 def implies(given: Condition, wanted: Condition) -> bool:
-    """Tell whether whatever meets the one condition meets the other."""
+    """Return whether every request that satisfies `given` also satisfies `wanted`."""
     if (given.field, given.name) != (wanted.field, wanted.name):
         return False
     if wanted.comparison is Comparison.PRESENT:
--- a/sequoiaspoke/core/rules/request.py
+++ b/sequoiaspoke/core/rules/request.py
@@ -1,9 +1,9 @@
-"""The head of a request as rules see it.
+"""Build the part of a request that rules match.
 
-The node and `explain` both build it here, so that what an operator is told
-offline is what the node does. Paths are normalised for matching only: without
-this a caller could pass a rule that refuses `/regia/admin` by asking for
-`//regia/./admin` or `/regia/%61dmin`, which many upstreams take for the same.
+The node and the `explain` command share this code, so `explain` reports offline what
+a node would do. Paths are normalized for matching only. Without that, a caller could
+bypass a rule that refuses `/regia/admin` by requesting `//regia/./admin` or
+`/regia/%61dmin`, which many upstreams treat as the same path.
 """
 
 from __future__ import annotations
@@ -26,10 +26,9 @@
     headers: Iterable[tuple[str, str]] = (),
     zone: str = "",
 ) -> RequestHead:
-    """Build the head from a request target such as `/hire/7?kind=jaw`.
+    """Build a request head from a target such as `/hire/7?kind=jaw`.
 
-    Of a header or a query parameter that is given more than once the first
-    counts.
+    If a header or a query parameter occurs more than once, the first one is used.
     """
     path, _, query = target.partition("#")[0].partition("?")
     by_name: dict[str, str] = {}
@@ -41,7 +40,7 @@
 
 
 def normalize_path(path: str) -> str:
-    """Decode a path, drop empty and dot segments, and keep encoded slashes."""
+    """Decode a path and resolve empty and dot segments; keep encoded slashes."""
     if "%" not in path and "//" not in path and "/." not in path and path:
         return path
     segments: list[str] = []
--- a/sequoiaspoke/core/rules/validate.py
+++ b/sequoiaspoke/core/rules/validate.py
@@ -1,10 +1,9 @@
-"""Whether rules and services may come into force together.
+"""Validate the rules and services of a version.
 
-Every node asks this before it installs a version, and `check` asks it before
-one is published. The answer depends on nothing but the data, so all nodes
-accept a version or all refuse it. Data that decodes but makes no sense yields
-problems, never an exception: a node that failed here instead would stay behind
-its fleet without saying why.
+Every node validates a version before it installs it, and `check` does so before it is
+published. The result depends on the data alone, so either all nodes accept a version
+or all refuse it. Invalid values yield problems, never an exception: a node that raised
+one here would keep an old version without reporting why.
 """
 
 from __future__ import annotations
@@ -42,12 +41,14 @@
     )
     from sequoiaspoke.core.rules.weights import WeightedService
 
-MAX_TIMEOUT = 3600.0  # seconds; a longer call would outlive any planned stop
+MAX_TIMEOUT = (
+    3600.0  # seconds; a longer call would last beyond any planned stop of a node
+)
 MAX_ATTEMPTS = 10
 MAX_WEIGHT = 1_000_000
 MAX_VALUE_LENGTH = 4096  # characters of a condition's value or a location
-MAX_RULES = 5000  # building the matcher of more would hold up calls
-MAX_METHODS = 16  # each named method costs the matcher an index of its own
+MAX_RULES = 5000  # building a larger matcher would delay calls
+MAX_METHODS = 16  # the matcher builds one index per named method
 REDIRECT_CODES = (301, 302, 303, 307, 308)
 REASON = re.compile(r"[a-z0-9][a-z0-9-]{0,63}")
 LOCATION = re.compile(r"(https?://[^\s/]+)?(/[^\s]*)?")
@@ -64,14 +65,14 @@
 
 @dataclass(frozen=True)
 class UnchangedParts:
-    """What has not changed since a version that had no error.
+    """Parts that are the same as in an earlier version without errors.
 
     Attributes
     ----------
     rules : bool
-        Whether all rules are the same.
+        Whether all rules are unchanged.
     services : frozenset of str
-        Names of the services that are the same.
+        Names of the unchanged services.
     """
 
     rules: bool = False
@@ -83,16 +84,16 @@
     services: Iterable[Service],
     unchanged: UnchangedParts | None = None,
 ) -> tuple[Problem, ...]:
-    """Return every error and warning in a version, in the order of its parts.
+    """Return all errors and warnings of a version, in the order of its parts.
 
-    A version with an error must not come into force; warnings say what is
-    probably not meant.
+    A version with an error must not be installed. A warning marks something that is
+    probably a mistake.
 
     Parameters
     ----------
     accepted : Accepted or None
-        What need not be looked at by itself again. The answer stays the same
-        but for warnings.
+        Parts that need no check of their own again. Errors are the same with and
+        without it; warnings about these parts may be missing.
     """
     unchanged = unchanged or UnchangedParts()
     rules, services = tuple(rules), tuple(services)
@@ -116,7 +117,7 @@
 
 
 def errors_of(problems: Iterable[Problem]) -> tuple[Problem, ...]:
-    """Return the problems that keep a version out of force."""
+    """Return the problems that are errors, not warnings."""
     return tuple(problem for problem in problems if not problem.warning)
 
 
@@ -179,7 +180,7 @@
         add_problem(key, message)
     if _retries_without_key(rule):
         message = (
-            "only calls with an Idempotency-Key may be tried again; "
+            "only calls with an Idempotency-Key may be retried; "
             "allowed: attempts = 1, or a condition: header idempotency-key present"
         )
         add_problem("attempts", message, warning=True)
@@ -261,7 +262,7 @@
         yield f"bad header name {printable(header)} after sticky"
     for name, count in Counter(part.service for part in action.split).items():
         if count > 1:
-            yield f"service {printable(name)} stands {count} times in the split"
+            yield f"service {printable(name)} appears {count} times in the split"
     for part in action.split:
         yield from _check_split_part(part, endpoint_counts)
 
@@ -280,7 +281,7 @@
 
 def _check_policy(rule: Rule) -> Iterator[tuple[str, str]]:
     policy = rule.policy
-    if not 0 < policy.timeout <= MAX_TIMEOUT:  # NaN fails this too
+    if not 0 < policy.timeout <= MAX_TIMEOUT:  # also rejects NaN
         message = f"found {policy.timeout:g}; allowed: over 0 to {MAX_TIMEOUT:g} s"
         yield "timeout", message
     if not 1 <= policy.attempts <= MAX_ATTEMPTS:
--- a/sequoiaspoke/core/rules/validservice.py
+++ b/sequoiaspoke/core/rules/validservice.py
@@ -1,4 +1,4 @@
-"""Whether a service's targets make sense, and do not stand in each other's place."""
+"""Validate the endpoints of services."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def check_service(service: Service) -> Iterator[Problem]:
-    """Yield what is wrong with one service."""
+    """Yield the problems of one service."""
     section = f"service {printable(service.name)}"
     for endpoint in service.endpoints:
         key = f"target {printable(endpoint.target)}"
@@ -47,9 +47,9 @@
 
 
 def duplicate_endpoints(services: tuple[Service, ...]) -> Iterator[Problem]:
-    """Yield the targets whose name, VM or address another one has."""
-    # A node is the home of one target. Were two targets named at one node, or
-    # one target at two, the second would find a node that refuses its calls.
+    """Yield a problem for each target whose name, VM or address is already used."""
+    # A node is the home of exactly one target. If two targets shared a node, or one
+    # target had two, the node of the second would refuse its calls.
     if _all_distinct(services):
         return
     seen: dict[tuple[str, str], str] = {}
@@ -69,7 +69,7 @@
 
 
 def _all_distinct(services: tuple[Service, ...]) -> bool:
-    # Nearly always true, and much quicker to see than to say what is shared.
+    # Almost always true, and much faster than finding the duplicates.
     endpoints = [each for service in services for each in service.endpoints]
     return (
         len({each.target for each in endpoints})
--- a/sequoiaspoke/core/rules/weights.py
+++ b/sequoiaspoke/core/rules/weights.py
@@ -1,7 +1,7 @@
-"""The share of a service in a split.
+"""Weight of a service in a split.
 
-It stands by itself: a sidecar needs it and none of the other parts of the rules, whose
-import would take three hundredths of its start.
+It has a module of its own because a sidecar needs nothing else of the rules package:
+importing the other modules would take about 3 % of its startup time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class WeightedService:
-    """A service and its share of a split."""
+    """A service and its weight in a split."""
 
     service: str
     weight: int = 1
--- a/sequoiaspoke/tests/rule_strategies.py
+++ b/sequoiaspoke/tests/rule_strategies.py
@@ -1,4 +1,7 @@
-"""Random rules and requests over a small vocabulary, so that they meet often."""
+"""Hypothesis strategies for rules and requests.
+
+They draw from a small vocabulary so that requests often match rules.
+"""
 
 from hypothesis import strategies as st
 
@@ -72,7 +75,7 @@
 
 @st.composite
 def rule_lists(draw, max_size=12):
-    """Draw rules with different names."""
+    """Draw a tuple of rules with distinct names."""
     bodies = draw(
         st.lists(
             st.tuples(st.lists(CONDITIONS, max_size=3).map(tuple), ACTIONS, POLICIES),
--- a/sequoiaspoke/tests/test_rules.py
+++ b/sequoiaspoke/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of the rules: text, matching, validation, differences."""
+"""Tests of parsing, matching, validating and comparing rules."""
 
 import dataclasses
 
@@ -116,7 +116,7 @@
 
     @PROPERTY
     @given(rule_lists())
-    def test_described_rules_read_back_as_they_were(self, rules):
+    def test_formatted_rules_parse_back_unchanged(self, rules):
         text = "".join(
             rule_text(
                 rule.name,
@@ -138,7 +138,7 @@
 class MatcherTests(TestCase):
     @PROPERTY
     @given(rule_lists(), st.lists(REQUESTS, min_size=1, max_size=8))
-    def test_the_index_decides_as_a_plain_loop_does(self, rules, requests):
+    def test_matcher_decides_as_a_plain_loop_does(self, rules, requests):
         matcher = compile_rules(rules)
         for request in requests:
             wanted = naive_index(rules, request)
@@ -151,7 +151,7 @@
             for each in explanation.mismatches:
                 self.assertFalse(matches(each.condition, request))
 
-    def test_prefixes_end_on_a_segment(self):
+    def test_prefixes_match_whole_segments(self):
         rules = parse_declarations(
             {"a": rule_text("a", "path prefix /billing/", "refuse")}
         ).rules
@@ -167,18 +167,18 @@
 
 
 class RequestTests(TestCase):
-    """A caller writes a path in another spelling to pass by a rule.
+    """A caller spells a path differently to bypass a rule.
 
-    The rule that refuses `/regia/admin` would let `//regia/./admin` through,
-    and the upstream, which takes both for the same, would run the command.
+    Without normalization, `//regia/./admin` would not match a rule that refuses
+    `/regia/admin`, but the upstream would treat both as the same path.
     """
 
-    def test_spellings_of_one_path_are_one_path(self):
+    def test_equivalent_paths_normalize_to_one_path(self):
         for path in ("//a/b", "/a/./b", "/x/../a/b", "/%61/b", "/../a/b", "/a//b"):
             self.assertEqual("/a/b", normalize_path(path))
         self.assertEqual("/a%2Fb/", normalize_path("/a%2fb/."))
 
-    def test_the_first_of_repeated_fields_counts(self):
+    def test_the_first_of_repeated_fields_is_used(self):
         head = make_request_head(
             "post", "/a?k=1&k=2&l", "h", [("X-A", "1"), ("x-a", "2")], "z"
         )
@@ -187,7 +187,7 @@
 
 
 class ValidateTests(TestCase):
-    def test_a_sound_version_has_no_problem(self):
+    def test_a_valid_version_has_no_problem(self):
         text = rule_text("a", "path prefix /fleet", "route fleet 9 sticky x-m")
         self.assertEqual([], problems_of(text + SERVICES))
 
@@ -197,7 +197,7 @@
             (rule_text("a", "always", "route booking"), 3, "unknown service booking"),
             (rule_text("a", "always", "route empty"), 3, "has no endpoint"),
             (rule_text("a", "always", "route fleet 0"), 3, "add up to 0"),
-            (rule_text("a", "always", "route fleet, fleet"), 3, "stands 2 times"),
+            (rule_text("a", "always", "route fleet, fleet"), 3, "appears 2 times"),
             (rule_text("a", "always", "redirect 200 /a"), 3, "bad redirect status"),
             (rule_text("a", "always", "redirect ftp://a/"), 3, "bad location"),
             (rule_text("a", "always", "refuse 200 ok"), 3, "bad refusal status"),
@@ -294,11 +294,11 @@
 )
 
 
-class HostileVersionTests(TestCase):
-    """A version is published whose values make no sense.
+class InvalidValuesTests(TestCase):
+    """A published version decodes but contains invalid values.
 
-    If a node raised while it looked at one, it would keep no reason to show,
-    and the operators would see nodes that stay behind in silence.
+    If validation raised an exception, the node would keep the old version without
+    recording a reason that operators could see.
     """
 
     @PROPERTY
@@ -307,7 +307,7 @@
         st.lists(ANY_SERVICES, max_size=3),
         st.lists(REQUESTS, min_size=1, max_size=2),
     )
-    def test_any_decoded_data_is_judged_and_matched(self, rules, services, requests):
+    def test_any_decoded_data_is_validated_and_matched(self, rules, services, requests):
         for problem in validate(rules, services):
             str(problem).encode()
         matcher = compile_rules(tuple(rules))
@@ -316,7 +316,7 @@
 
 
 class ReachTests(TestCase):
-    def test_a_rule_behind_one_that_takes_all_its_requests_is_named(self):
+    def test_a_rule_covered_by_an_earlier_one_is_reported(self):
         text = (
             rule_text("a", "path prefix /a", "refuse")
             + rule_text("b", "method GET; path segments /a/{id}", "refuse")
