--- a/sequoiaspoke/core/snapshot/codec.py
+++ b/sequoiaspoke/core/snapshot/codec.py
@@ -27,8 +27,8 @@
 DOCUMENT_LIMIT = 1_000_000  # bytes; the platform holds values up to a megabyte
 PART_LIMIT = 8_000_000  # bytes once inflated, so that a bomb cannot fill the memory
 DIGEST_BYTES = 16
-LARGEST_NUMBER = 2**63 - 1  # of versions and revisions, as messages carry them
-LARGEST_PORT = 65535
+MAX_NUMBER = 2**63 - 1  # of versions and revisions, as messages carry them
+MAX_PORT = 65535
 DIGEST = re.compile(rf"[0-9a-f]{{{2 * DIGEST_BYTES}}}")
 PART_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/-]{0,127}")
 VM_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
@@ -52,8 +52,8 @@
     """Build the converter; unknown keys are errors."""
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=False)
     for exact_type in (int, str, bool):
-        converter.register_structure_hook(exact_type, _exactly(exact_type))
-    converter.register_structure_hook(float, _number)
+        converter.register_structure_hook(exact_type, _strict(exact_type))
+    converter.register_structure_hook(float, _structure_float)
     configure_tagged_union(rules_model.Action, converter, tag_name="action")
     for cls in STRICT_CLASSES:
         if cls in (rules_model.RouteTo, rules_model.Redirect, rules_model.Refuse):
@@ -62,7 +62,7 @@
     return converter
 
 
-def _exactly(exact_type: type) -> Any:
+def _strict(exact_type: type) -> Any:
     # Without this a version "7" or 7.9 would be rounded to 7 in silence, and
     # two nodes with different libraries could hold different versions.
     def structure(value: Any, _: type) -> Any:
@@ -73,7 +73,7 @@
     return structure
 
 
-def _number(value: Any, _: type) -> float:
+def _structure_float(value: Any, _: type) -> float:
     if type(value) not in (int, float):
         raise TypeError(f"{value!r} is not a number")
     return float(value)
@@ -160,7 +160,7 @@
     DocumentError
         The version, a part's name or a digest is out of bounds.
     """
-    if not 1 <= head.version <= LARGEST_NUMBER:
+    if not 1 <= head.version <= MAX_NUMBER:
         raise DocumentError(f"version {head.version} is out of range")
     for name, digest in head.parts.items():
         if not PART_NAME.fullmatch(name) or not DIGEST.fullmatch(digest):
@@ -207,10 +207,10 @@
     DocumentError
         The revision, a name, an address or a port is out of bounds.
     """
-    if not 0 <= vms.revision <= LARGEST_NUMBER:
+    if not 0 <= vms.revision <= MAX_NUMBER:
         raise DocumentError(f"revision {vms.revision} is out of range")
     for vm in vms.vms:
-        named = VM_NAME.fullmatch(vm.name) and VM_NAME.fullmatch(vm.zone)
-        port = 0 <= vm.peer_port <= LARGEST_PORT
-        if not named or not port or not is_ip_address(vm.address):
+        names_valid = VM_NAME.fullmatch(vm.name) and VM_NAME.fullmatch(vm.zone)
+        port_valid = 0 <= vm.peer_port <= MAX_PORT
+        if not names_valid or not port_valid or not is_ip_address(vm.address):
             raise DocumentError(f"bad VM {ascii(vm.name[:80])}")
--- a/sequoiaspoke/core/snapshot/gate.py
+++ b/sequoiaspoke/core/snapshot/gate.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Known:
+class DigestedHead:
     """A head and the digest over it."""
 
     head: Head
@@ -48,18 +48,18 @@
         return self.head.version
 
 
-def known(head: Head) -> Known:
+def digest_head(head: Head) -> DigestedHead:
     """Compute the digest over a head."""
-    return Known(head, root_digest(head))
+    return DigestedHead(head, root_digest(head))
 
 
 class VersionGate:
     """Remembers the versions in force, being gathered and refused."""
 
     def __init__(self) -> None:
-        self.current: Known | None = None
-        self.candidates: dict[int, Known] = {}
-        self.refused: dict[int, Known] = {}
+        self.current: DigestedHead | None = None
+        self.candidates: dict[int, DigestedHead] = {}
+        self.refused: dict[int, DigestedHead] = {}
         self.counters: Counter[str] = Counter()
 
     def version(self) -> int:
@@ -68,12 +68,12 @@
 
     def first_root(self, version: int) -> str | None:
         """Return the digest that was first seen under a version number."""
-        for held in (self.current, *self.candidates.values(), *self.refused.values()):
-            if held and held.version == version:
-                return held.root
+        for each in (self.current, *self.candidates.values(), *self.refused.values()):
+            if each and each.version == version:
+                return each.root
         return None
 
-    def judge(self, version: int, root: str) -> Verdict:
+    def classify(self, version: int, root: str) -> Verdict:
         """Compare a version with what is held, without changing anything."""
         first = self.first_root(version)
         if first is not None and first != root:
@@ -88,9 +88,9 @@
             return Verdict.PENDING
         return Verdict.NEW
 
-    def offer(self, offered: Known) -> Verdict:
+    def offer(self, offered: DigestedHead) -> Verdict:
         """Judge a head, count it, and make it a candidate if it is new."""
-        verdict = self.judge(offered.version, offered.root)
+        verdict = self.classify(offered.version, offered.root)
         self.counters[f"head-{verdict.value}"] += 1
         if verdict is not Verdict.NEW:
             return verdict
@@ -102,11 +102,11 @@
                 return Verdict.OLDER
         return verdict
 
-    def newest_candidates(self) -> list[Known]:
+    def newest_candidates(self) -> list[DigestedHead]:
         """Return the candidates, the newest first."""
         return [self.candidates[v] for v in sorted(self.candidates, reverse=True)]
 
-    def install(self, installed: Known) -> None:
+    def install(self, installed: DigestedHead) -> None:
         """Put a candidate in force and forget those it overtakes."""
         # A version below the one in force must not get here; if it did, calls
         # would meet rules that were withdrawn. Better no install than that.
@@ -114,22 +114,22 @@
             self.counters["install-not-newer"] += 1
             return
         self.current = installed
-        self.forget_overtaken()
+        self.drop_superseded()
 
-    def refuse(self, refused: Known) -> None:
+    def refuse(self, refused: DigestedHead) -> None:
         """Remember a candidate that failed validation."""
         del self.candidates[refused.version]
         self.refused[refused.version] = refused
         while len(self.refused) > REFUSED_LIMIT:
             del self.refused[min(self.refused)]
 
-    def newest_refused(self) -> Known | None:
+    def newest_refused(self) -> DigestedHead | None:
         """Return the newest refused version above the one in force."""
         if not self.refused or max(self.refused) <= self.version():
             return None
         return self.refused[max(self.refused)]
 
-    def forget_overtaken(self) -> None:
+    def drop_superseded(self) -> None:
         """Drop the candidates that are not newer than the version in force."""
         newer = {v: c for v, c in self.candidates.items() if v > self.version()}
         self.candidates = newer
--- a/sequoiaspoke/core/snapshot/holder.py
+++ b/sequoiaspoke/core/snapshot/holder.py
@@ -5,7 +5,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.snapshot.gate import Known, Verdict, VersionGate, known
+from sequoiaspoke.core.snapshot.gate import (
+    DigestedHead,
+    Verdict,
+    VersionGate,
+    digest_head,
+)
 from sequoiaspoke.core.snapshot.install import build_snapshot
 from sequoiaspoke.core.snapshot.store import PartStore
 from sequoiaspoke.errors import DocumentError, VersionRefusedError
@@ -37,7 +42,7 @@
 class PartDecision:
     """What became of an offered part; `taken` is False for corrupt bytes."""
 
-    taken: bool
+    accepted: bool
     installed: Snapshot | None = None
 
 
@@ -62,10 +67,10 @@
         self.gate = VersionGate()
         self.store = PartStore()
         self.current: Snapshot | None = None
-        self.previous: Known | None = None
+        self.previous: DigestedHead | None = None
         self.last_refused: RefusedVersion | None = None
         self.installed_at = 0.0
-        self.hold = False
+        self.installs_paused = False
         self.sources: dict[int, str] = {}
 
     @property
@@ -80,7 +85,7 @@
 
     def offer_head(self, head: Head, source: str, now: float) -> HeadDecision:
         """Take a head that the platform or a peer told of."""
-        offered = known(head)
+        offered = digest_head(head)
         verdict = self.gate.offer(offered)
         if verdict is Verdict.NEW:
             self.sources[head.version] = source
@@ -118,17 +123,17 @@
 
     def try_install(self, now: float) -> Snapshot | None:
         """Install the newest whole candidate unless installs are on hold."""
-        if self.hold:
+        if self.installs_paused:
             return None
         for candidate in self.gate.newest_candidates():
             if self.store.missing(candidate.head):
                 continue
-            snapshot = self.build(candidate, now)
+            snapshot = self.build_and_install(candidate, now)
             if snapshot:
                 return snapshot
         return None
 
-    def build(self, candidate: Known, now: float) -> Snapshot | None:
+    def build_and_install(self, candidate: DigestedHead, now: float) -> Snapshot | None:
         """Put a whole candidate in force, or remember why it is refused."""
         source = self.sources.get(candidate.version, "")
         try:
@@ -145,19 +150,19 @@
         self.current = snapshot
         self.installed_at = now
         self.counters["version-installed"] += 1
-        self.trim()
+        self.drop_unused_parts()
         return snapshot
 
-    def held(self, root: str) -> Known | None:
+    def find_by_root(self, root: str) -> DigestedHead | None:
         """Return the version in force, before it or refused that has a digest."""
-        for one in (self.gate.current, self.previous, *self.gate.refused.values()):
-            if one and one.root == root:
-                return one
+        for each in (self.gate.current, self.previous, *self.gate.refused.values()):
+            if each and each.root == root:
+                return each
         return None
 
-    def trim(self) -> None:
+    def drop_unused_parts(self) -> None:
         """Drop parts that no version in use needs."""
-        held = [*self.gate.candidates.values(), *self.gate.refused.values()]
-        heads = [one.head for one in held if one.version > self.version]
-        heads += [one.head for one in (self.gate.current, self.previous) if one]
+        kept = [*self.gate.candidates.values(), *self.gate.refused.values()]
+        heads = [each.head for each in kept if each.version > self.version]
+        heads += [each.head for each in (self.gate.current, self.previous) if each]
         self.store.keep_only(heads)
--- a/sequoiaspoke/core/snapshot/install.py
+++ b/sequoiaspoke/core/snapshot/install.py
@@ -22,7 +22,7 @@
     from sequoiaspoke.core.snapshot.store import PartStore
 
 
-def build_snapshot(head: Head, store: PartStore, before: Snapshot | None) -> Snapshot:
+def build_snapshot(head: Head, store: PartStore, previous: Snapshot | None) -> Snapshot:
     """Decode and validate every part of a version.
 
     Raises
@@ -31,48 +31,52 @@
         Some part is not what it should be, or the whole contradicts itself.
     """
     problems: list[Problem] = []
-    rules = _rules(head, store, before, problems)
-    services = _services(head, store, before, problems)
+    rules = _decode_rules(head, store, previous, problems)
+    services = _decode_services(head, store, previous, problems)
     if not problems:
-        unchanged = _unchanged(rules, services, before)
+        unchanged = _unchanged_parts(rules, services, previous)
         problems += errors_of(validate(rules, services.values(), unchanged))
     if problems:
         raise VersionRefusedError(tuple(problems))
-    if before and before.rules is rules:
-        return Snapshot(head, rules, services, before.matcher)
+    if previous and previous.rules is rules:
+        return Snapshot(head, rules, services, previous.matcher)
     return Snapshot(head, rules, services, compile_rules(rules))
 
 
-def _unchanged(
-    rules: tuple[Rule, ...], services: dict[str, Service], before: Snapshot | None
+def _unchanged_parts(
+    rules: tuple[Rule, ...], services: dict[str, Service], previous: Snapshot | None
 ) -> UnchangedParts:
     # Looking at 2,000 endpoints again for each change of one holds up the loop,
     # and every call on it, for tens of milliseconds.
-    if before is None:
+    if previous is None:
         return UnchangedParts()
-    known = before.services
-    same = (name for name, held in services.items() if known.get(name) is held)
-    return UnchangedParts(before.rules is rules, frozenset(same))
+    previous_services = previous.services
+    unchanged_names = (
+        name
+        for name, service in services.items()
+        if previous_services.get(name) is service
+    )
+    return UnchangedParts(previous.rules is rules, frozenset(unchanged_names))
 
 
-def _rules(
-    head: Head, store: PartStore, before: Snapshot | None, problems: list[Problem]
+def _decode_rules(
+    head: Head, store: PartStore, previous: Snapshot | None, problems: list[Problem]
 ) -> tuple[Rule, ...]:
     digest = head.parts.get(RULES_PART)
     if digest is None:
         problems.append(Problem("the head names no rules", section=RULES_PART))
         return ()
-    if before and before.head.parts[RULES_PART] == digest:
-        return before.rules
+    if previous and previous.head.parts[RULES_PART] == digest:
+        return previous.rules
     try:
-        return codec.decode_rules(_content(store, digest))
+        return codec.decode_rules(_unpack_part(store, digest))
     except DocumentError as error:
         problems.append(Problem(str(error), section=RULES_PART))
         return ()
 
 
-def _services(
-    head: Head, store: PartStore, before: Snapshot | None, problems: list[Problem]
+def _decode_services(
+    head: Head, store: PartStore, previous: Snapshot | None, problems: list[Problem]
 ) -> dict[str, Service]:
     services = {}
     for part, digest in head.parts.items():
@@ -82,24 +86,24 @@
         if name == part:
             problems.append(Problem("unknown part", section=part))
             continue
-        if before and before.head.parts.get(part) == digest:
-            services[name] = before.services[name]
+        if previous and previous.head.parts.get(part) == digest:
+            services[name] = previous.services[name]
             continue
         try:
-            services[name] = _service(name, _content(store, digest))
+            services[name] = _decode_service(name, _unpack_part(store, digest))
         except DocumentError as error:
             problems.append(Problem(str(error), section=part))
     return services
 
 
-def _service(name: str, content: bytes) -> Service:
+def _decode_service(name: str, content: bytes) -> Service:
     service = codec.decode_service(content)
     if service.name != name:
         raise DocumentError(f"the part holds service {service.name!r}")
     return service
 
 
-def _content(store: PartStore, digest: str) -> bytes:
+def _unpack_part(store: PartStore, digest: str) -> bytes:
     packed = store.get(digest)
     if packed is None:
         raise DocumentError(f"part {digest} is missing")
--- a/sequoiaspoke/core/spread/answers.py
+++ b/sequoiaspoke/core/spread/answers.py
@@ -21,7 +21,7 @@
 from sequoiaspoke.core.spread.strategy import difference
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.snapshot.gate import Known
+    from sequoiaspoke.core.snapshot.gate import DigestedHead
     from sequoiaspoke.core.snapshot.holder import SnapshotHolder
     from sequoiaspoke.core.spread.links import Link, LinkTable
     from sequoiaspoke.core.spread.messages import Message
@@ -42,7 +42,7 @@
     """
     parts: dict[str, str] = {}
     if delta.base_root:
-        base = holder.held(delta.base_root)
+        base = holder.find_by_root(delta.base_root)
         if base is None:
             return None
         parts = dict(base.head.parts)
@@ -80,7 +80,7 @@
             self.strategy.summary(current),
         )
 
-    def announce(self, target: Known, base: Known | None) -> None:
+    def announce(self, target: DigestedHead, base: DigestedHead | None) -> None:
         """Tell every linked peer that is not known to have a version."""
         delta = self.strategy.announced(target, base)
         revision = self.state.vms.revision
@@ -104,10 +104,10 @@
     def head(self, question: HeadQuestion) -> HeadAnswer:
         """Return a head that is held, as a difference if possible."""
         holder = self.state.holder
-        target = holder.held(question.root)
+        target = holder.find_by_root(question.root)
         if target is None or target.version != question.version:
             return HeadAnswer()
-        return HeadAnswer(difference(target, holder.held(question.base_root)))
+        return HeadAnswer(difference(target, holder.find_by_root(question.base_root)))
 
     def parts(self, question: PartsQuestion, now: float) -> PartsAnswer:
         """Return the parts that are held, fit and are within the budget."""
--- a/sequoiaspoke/core/spread/news.py
+++ b/sequoiaspoke/core/spread/news.py
@@ -58,7 +58,10 @@
 
     def take_delta(self, link: Link, delta: messages.HeadDelta, now: float) -> bool:
         """Rebuild a head from its difference; return whether it fitted."""
-        if self.state.holder.gate.judge(delta.version, delta.root) is not Verdict.NEW:
+        if (
+            self.state.holder.gate.classify(delta.version, delta.root)
+            is not Verdict.NEW
+        ):
             return True
         try:
             head = apply_delta(delta, self.state.holder)
@@ -93,7 +96,7 @@
 
     def take_part(self, digest: str, packed: bytes, source: str, now: float) -> None:
         """Offer a part to the holder."""
-        if not self.state.holder.offer_part(digest, packed, now).taken:
+        if not self.state.holder.offer_part(digest, packed, now).accepted:
             self.state.count(f"part-corrupt-from-{_kind(source)}")
             self.puller.part_failed(digest, now)
         self.tell()
--- a/sequoiaspoke/core/spread/pull.py
+++ b/sequoiaspoke/core/spread/pull.py
@@ -17,7 +17,7 @@
 from sequoiaspoke.core.spread.messages import HeadQuestion, PartsQuestion, VmsQuestion
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.snapshot.gate import Known
+    from sequoiaspoke.core.snapshot.gate import DigestedHead
     from sequoiaspoke.core.spread.links import Link, LinkTable
     from sequoiaspoke.core.spread.platform import PlatformReader
     from sequoiaspoke.core.spread.state import SpreadState
@@ -63,7 +63,7 @@
     def consider_version(self, link: Link, version: int, root: str, now: float) -> None:
         """Ask for a version's head if it is newer and not known."""
         gate = self.state.holder.gate
-        if version <= gate.version() or gate.judge(version, root) is not Verdict.NEW:
+        if version <= gate.version() or gate.classify(version, root) is not Verdict.NEW:
             return
         if self.heads.get(version) in self.links.pending:
             return
@@ -212,7 +212,7 @@
             self.failed(fetch, now)
 
 
-def _has(link: Link, versions: list[Known]) -> bool:
+def _has(link: Link, versions: list[DigestedHead]) -> bool:
     status = link.status
     shown = {status.root, status.refused_root}
     return any(one.root in shown for one in versions)
--- a/sequoiaspoke/core/spread/startup.py
+++ b/sequoiaspoke/core/spread/startup.py
@@ -39,12 +39,12 @@
         self.heard: dict[str, bool] = {}
         self.since: float | None = None
         self.peers_known = False
-        state.holder.hold = True
+        state.holder.installs_paused = True
 
     @property
     def done(self) -> bool:
         """Return whether installs are let through."""
-        return not self.state.holder.hold
+        return not self.state.holder.installs_paused
 
     def more_peers(self) -> int:
         """Return how many peers to ask beyond the usual few.
@@ -72,7 +72,7 @@
         self.peers_known = self.state.vms.revision > 0
         self._listen()
         if self._enough(now):
-            self.state.holder.hold = False
+            self.state.holder.installs_paused = False
             self.state.count("catch-up-done")
 
     def _listen(self) -> None:
--- a/sequoiaspoke/core/spread/strategy.py
+++ b/sequoiaspoke/core/spread/strategy.py
@@ -12,13 +12,13 @@
 from sequoiaspoke.core.spread.messages import HeadDelta
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.snapshot.gate import Known
+    from sequoiaspoke.core.snapshot.gate import DigestedHead
 
 # Changed parts that an announcement lists itself; a larger change is asked for.
 ANNOUNCED_PARTS = 16
 
 
-def difference(target: Known, base: Known | None) -> HeadDelta:
+def difference(target: DigestedHead, base: DigestedHead | None) -> HeadDelta:
     """Return a head as its difference from another, or whole."""
     if base is None:
         return HeadDelta(target.version, target.root, "", dict(target.head.parts))
@@ -34,10 +34,12 @@
     reuses_parts = True
 
     @abstractmethod
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced(
+        self, target: DigestedHead, base: DigestedHead | None
+    ) -> HeadDelta | None:
         """Return what an announcement says of the head itself."""
 
-    def summary(self, current: Known | None) -> dict[str, str]:
+    def summary(self, current: DigestedHead | None) -> dict[str, str]:
         """Return the digests that every heartbeat carries beside the root's."""
         del current
         return {}
@@ -46,7 +48,9 @@
 class RootThenParts(Strategy):
     """Compare one digest; descend to heads and parts only where it differs."""
 
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced(
+        self, target: DigestedHead, base: DigestedHead | None
+    ) -> HeadDelta | None:
         """Tell the difference while it is small."""
         if base is None:
             return None
@@ -58,7 +62,7 @@
 class FlatDigests(RootThenParts):
     """Compare the digests of all parts with every heartbeat."""
 
-    def summary(self, current: Known | None) -> dict[str, str]:
+    def summary(self, current: DigestedHead | None) -> dict[str, str]:
         """Return the digest of every part."""
         return dict(current.head.parts) if current else {}
 
@@ -68,7 +72,9 @@
 
     reuses_parts = False
 
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced(
+        self, target: DigestedHead, base: DigestedHead | None
+    ) -> HeadDelta | None:
         """Tell the whole head."""
         del base
         return difference(target, None)
--- a/sequoiaspoke/tests/test_snapshot.py
+++ b/sequoiaspoke/tests/test_snapshot.py
@@ -26,7 +26,7 @@
     )
 
 
-def take(holder, published, only=None):
+def offer(holder, published, only=None):
     decision = holder.offer_head(published.head, "test", 1.0)
     for digest in decision.missing if only is None else only:
         holder.offer_part(digest, published.parts[digest], 1.0)
@@ -42,67 +42,67 @@
 
     def test_versions_never_go_back(self):
         holder = SnapshotHolder()
-        take(holder, publication(2))
+        offer(holder, publication(2))
         before = holder.current
-        self.assertEqual(Verdict.OLDER, take(holder, publication(1)).verdict)
-        self.assertEqual(Verdict.CURRENT, take(holder, publication(2)).verdict)
+        self.assertEqual(Verdict.OLDER, offer(holder, publication(1)).verdict)
+        self.assertEqual(Verdict.CURRENT, offer(holder, publication(2)).verdict)
         self.assertIs(before, holder.current)
         self.assertEqual(1, holder.counters["head-older"])
 
     def test_the_first_of_two_contents_under_one_version_is_kept(self):
         holder = SnapshotHolder()
-        take(holder, publication(2))
+        offer(holder, publication(2))
         other = publication(2, fleet=(7,))
-        self.assertEqual(Verdict.CONFLICT, take(holder, other).verdict)
+        self.assertEqual(Verdict.CONFLICT, offer(holder, other).verdict)
         self.assertEqual((1,), ports(holder, "fleet"))
         pending = publication(3, fleet=(8,))
         holder.offer_head(pending.head, "test", 1.0)
         conflicting = publication(3, fleet=(9,))
-        self.assertEqual(Verdict.CONFLICT, take(holder, conflicting).verdict)
-        take(holder, pending)
+        self.assertEqual(Verdict.CONFLICT, offer(holder, conflicting).verdict)
+        offer(holder, pending)
         self.assertEqual((8,), ports(holder, "fleet"))
 
     def test_a_late_part_of_an_overtaken_version_changes_nothing(self):
         holder = SnapshotHolder()
         old = publication(1)
         holder.offer_head(old.head, "test", 1.0)
-        take(holder, publication(2, fleet=(5,), billing=(6,)))
+        offer(holder, publication(2, fleet=(5,), billing=(6,)))
         for digest, packed in old.parts.items():
             holder.offer_part(digest, packed, 1.0)
         self.assertEqual(2, holder.version)
         self.assertEqual((5,), ports(holder, "fleet"))
 
 
-class WholeOrNotTests(TestCase):
+class AtomicInstallTests(TestCase):
     """Parts get lost or corrupted, or a bad version is published.
 
     Half a version would route calls by rules whose services are not there; a
     foreman would get errors for a booking that both versions could take.
     """
 
-    def test_nothing_is_in_force_until_every_part_is_there(self):
+    def test_a_version_is_installed_only_with_all_its_parts(self):
         holder = SnapshotHolder()
         published = publication(1)
         digests = list(published.parts)
-        take(holder, published, digests[:-1])
+        offer(holder, published, digests[:-1])
         self.assertIsNone(holder.current)
         self.assertEqual((digests[-1],), holder.missing())
         corrupt = published.parts[digests[-1]][:-2]
-        self.assertFalse(holder.offer_part(digests[-1], corrupt, 1.0).taken)
+        self.assertFalse(holder.offer_part(digests[-1], corrupt, 1.0).accepted)
         self.assertIsNone(holder.current)
-        take(holder, published, digests[-1:])
+        offer(holder, published, digests[-1:])
         self.assertEqual(1, holder.version)
 
-    def test_a_poisoned_version_between_good_ones_is_refused_whole(self):
+    def test_an_invalid_version_between_valid_ones_is_refused(self):
         holder = SnapshotHolder()
-        take(holder, publication(1))
+        offer(holder, publication(1))
         for bad in (publication(2, route="nowhere"), publication(3, fleet=())):
-            take(holder, bad)
+            offer(holder, bad)
             self.assertEqual(1, holder.version)
-            self.assertEqual(Verdict.REFUSED, take(holder, bad).verdict)
+            self.assertEqual(Verdict.REFUSED, offer(holder, bad).verdict)
         self.assertEqual(3, holder.last_refused.version)
         self.assertIn("fleet", holder.last_refused.reason)
-        take(holder, publication(4))
+        offer(holder, publication(4))
         self.assertEqual(4, holder.version)
 
     def test_foreign_and_unknown_parts_are_refused(self):
@@ -153,9 +153,9 @@
 
     def test_only_the_changed_service_is_fetched_and_decoded(self):
         holder = SnapshotHolder()
-        take(holder, publication(1))
+        offer(holder, publication(1))
         before = holder.current
-        decision = take(holder, publication(2, fleet=(1, 3)))
+        decision = offer(holder, publication(2, fleet=(1, 3)))
         fleet = codec.digest_of(codec.encode_service(service("fleet", 1, 3)))
         self.assertEqual((fleet,), decision.missing)
         self.assertIs(before.rules, holder.current.rules)
@@ -164,18 +164,18 @@
 
     def test_a_change_is_validated_against_what_did_not_change(self):
         holder = SnapshotHolder()
-        take(holder, publication(1, fleet=(1,), billing=(2,)))
-        take(holder, publication(2, fleet=(2,), billing=(2,)))
+        offer(holder, publication(1, fleet=(1,), billing=(2,)))
+        offer(holder, publication(2, fleet=(2,), billing=(2,)))
         self.assertIn("duplicate", holder.last_refused.reason)
-        take(holder, publication(3, fleet=(-1,), billing=(2,)))
+        offer(holder, publication(3, fleet=(-1,), billing=(2,)))
         self.assertIn("mesh_port", holder.last_refused.reason)
-        take(holder, publication(4, fleet=(), billing=(2,)))
+        offer(holder, publication(4, fleet=(), billing=(2,)))
         self.assertEqual((4, 1), (holder.last_refused.version, holder.version))
 
-    def test_the_store_keeps_two_versions_for_peers(self):
+    def test_the_store_keeps_the_parts_of_two_versions(self):
         holder = SnapshotHolder()
         for version in range(1, 6):
-            take(holder, publication(version, fleet=(version,)))
+            offer(holder, publication(version, fleet=(version,)))
         self.assertEqual(4, len(holder.store.parts))
 
 
--- a/sequoiaspoke/tests/test_spread_property.py
+++ b/sequoiaspoke/tests/test_spread_property.py
@@ -189,7 +189,7 @@
             gate.candidates.clear()
 
         with (
-            mock.patch.object(VersionGate, "judge", judge),
+            mock.patch.object(VersionGate, "classify", judge),
             mock.patch.object(VersionGate, "install", install),
         ):
             self.finds()
@@ -212,7 +212,7 @@
             self.finds()
 
 
-REAL_JUDGE = VersionGate.judge
+REAL_JUDGE = VersionGate.classify
 
 
 class Forgetful:
