--- a/sequoiaspoke/core/snapshot/__init__.py
+++ b/sequoiaspoke/core/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of the configuration, held whole."""
+"""Snapshots: complete versions of the configuration."""
--- a/sequoiaspoke/core/snapshot/codec.py
+++ b/sequoiaspoke/core/snapshot/codec.py
@@ -1,4 +1,4 @@
-"""Documents to and from bytes: canonical JSON, digests and compression."""
+"""Encode and decode documents: canonical JSON, digests and compression."""
 
 from __future__ import annotations
 
@@ -24,10 +24,14 @@
 
 T = TypeVar("T")
 
-DOCUMENT_LIMIT = 1_000_000  # bytes; the platform holds values up to a megabyte
-PART_LIMIT = 8_000_000  # bytes once inflated, so that a bomb cannot fill the memory
+DOCUMENT_LIMIT = 1_000_000  # bytes; the platform stores values of up to a megabyte
+PART_LIMIT = (
+    8_000_000  # bytes after decompression, so that a zip bomb cannot exhaust memory
+)
 DIGEST_BYTES = 16
-MAX_NUMBER = 2**63 - 1  # of versions and revisions, as messages carry them
+MAX_NUMBER = (
+    2**63 - 1
+)  # of versions and revisions, which messages carry as signed 64 bits
 MAX_PORT = 65535
 DIGEST = re.compile(rf"[0-9a-f]{{{2 * DIGEST_BYTES}}}")
 PART_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/-]{0,127}")
@@ -49,7 +53,7 @@
 
 
 def make_converter() -> cattrs.Converter:
-    """Build the converter; unknown keys are errors."""
+    """Build the cattrs converter; it rejects unknown keys and wrong types."""
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=False)
     for exact_type in (int, str, bool):
         converter.register_structure_hook(exact_type, _strict(exact_type))
@@ -63,8 +67,8 @@
 
 
 def _strict(exact_type: type) -> Any:
-    # Without this a version "7" or 7.9 would be rounded to 7 in silence, and
-    # two nodes with different libraries could hold different versions.
+    # Without this check, a version "7" or 7.9 would be converted to 7 silently, and
+    # nodes with different library versions could decode different values.
     def structure(value: Any, _: type) -> Any:
         if type(value) is not exact_type:
             raise TypeError(f"{value!r} is not of type {exact_type.__name__}")
@@ -83,54 +87,54 @@
 
 
 def encode_json(value: Any) -> bytes:
-    """Encode data classes as canonical JSON."""
+    """Encode dataclasses as canonical JSON."""
     plain = CONVERTER.unstructure(value)
     return json.dumps(plain, sort_keys=True, separators=(",", ":")).encode()
 
 
 def decode_json(data: bytes, cls: type[T]) -> T:
-    """Decode JSON into a data class.
+    """Decode JSON into a dataclass.
 
     Raises
     ------
     DocumentError
-        The bytes are no JSON of that class.
+        The bytes are not valid JSON for that class.
     """
     try:
         return CONVERTER.structure(json.loads(data), cls)
     except (ValueError, TypeError, KeyError, RecursionError, AttributeError) as error:
         raise DocumentError(f"no {cls}: {error}") from error
-    except Exception as error:  # the library's own errors share no base class
+    except Exception as error:  # cattrs' own errors have no common base class
         raise DocumentError(f"no {cls}: {error}") from error
 
 
 def digest_of(content: bytes) -> str:
-    """Return the digest that names a part's uncompressed content."""
+    """Return the digest that identifies a part by its uncompressed content."""
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def pack(content: bytes) -> bytes:
-    """Compress a part's content for the platform and for peers."""
+    """Compress the content of a part for the platform and for peers."""
     return zlib.compress(content, 6)
 
 
 def unpack(packed: bytes, digest: str) -> bytes:
-    """Inflate a part and check it against its digest.
+    """Decompress a part and verify its digest.
 
     Raises
     ------
     DocumentError
-        The bytes are corrupt, too large, or another part's.
+        The bytes are corrupt, too large, or do not match the digest.
     """
     inflater = zlib.decompressobj()
     try:
         content = inflater.decompress(packed, PART_LIMIT)
     except zlib.error as error:
-        raise DocumentError(f"part {digest} does not inflate: {error}") from error
+        raise DocumentError(f"part {digest} cannot be decompressed: {error}") from error
     if not inflater.eof:
-        raise DocumentError(f"part {digest} is cut short or too large")
+        raise DocumentError(f"part {digest} is truncated or too large")
     if digest_of(content) != digest:
-        raise DocumentError(f"part {digest} has other content than its digest says")
+        raise DocumentError(f"the content of part {digest} does not match its digest")
     return content
 
 
@@ -145,7 +149,7 @@
     Raises
     ------
     DocumentError
-        The bytes are no head that could be told to other nodes.
+        The bytes are not a head document, or its values are out of range.
     """
     head = decode_json(data, Head)
     check_head(head)
@@ -153,12 +157,12 @@
 
 
 def check_head(head: Head) -> None:
-    """Check what every node must be able to store and pass on.
+    """Check that every node can store a head and pass it on.
 
     Raises
     ------
     DocumentError
-        The version, a part's name or a digest is out of bounds.
+        The version, the name of a part or a digest is invalid.
     """
     if not 1 <= head.version <= MAX_NUMBER:
         raise DocumentError(f"version {head.version} is out of range")
@@ -168,7 +172,7 @@
 
 
 def root_digest(head: Head) -> str:
-    """Return one digest over a whole head."""
+    """Return a digest over a complete head."""
     return digest_of(encode_head(head))
 
 
@@ -200,12 +204,12 @@
 
 
 def check_vms(vms: VmList) -> None:
-    """Check what every node must be able to store and pass on.
+    """Check that every node can store a VM list and pass it on.
 
     Raises
     ------
     DocumentError
-        The revision, a name, an address or a port is out of bounds.
+        The revision, a name, an address or a port is invalid.
     """
     if not 0 <= vms.revision <= MAX_NUMBER:
         raise DocumentError(f"revision {vms.revision} is out of range")
--- a/sequoiaspoke/core/snapshot/gate.py
+++ b/sequoiaspoke/core/snapshot/gate.py
@@ -1,8 +1,8 @@
-"""The version gate: decides whether a head may be considered at all.
+"""Decide which offered heads are candidates for installation.
 
-Documents cross in transit, a platform may be stale and a peer may have been
-paused, so old heads keep arriving. The gate compares version numbers only;
-whatever is not newer than the version in force is ignored and counted.
+Messages can be reordered, the platform may return stale data and a peer may have been
+paused, so old heads keep arriving. The gate compares version numbers only: a head that
+is not newer than the version in force is counted and ignored.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.snapshot.model import Head
 
-# Two candidates are enough: the newest head, and the one before it in case a
-# part of the newest never arrives.
+# Two candidates are enough: the newest head, and the one before it in case a part of
+# the newest never arrives.
 CANDIDATE_LIMIT = 2
-# Refused versions and roots that are remembered, so that none is fetched twice.
+# Refused versions to remember, so that none is fetched twice.
 REFUSED_LIMIT = 8
 
 
 class Verdict(Enum):
-    """What the gate says of a head."""
+    """How an offered head compares with the versions that a node knows."""
 
     NEW = "new"
     PENDING = "pending"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class DigestedHead:
-    """A head and the digest over it."""
+    """A head with the digest over it."""
 
     head: Head
     root: str
@@ -49,12 +49,12 @@
 
 
 def digest_head(head: Head) -> DigestedHead:
-    """Compute the digest over a head."""
+    """Return a head with the digest over it."""
     return DigestedHead(head, root_digest(head))
 
 
 class VersionGate:
-    """Remembers the versions in force, being gathered and refused."""
+    """Tracks the version in force, the candidates and the refused versions."""
 
     def __init__(self) -> None:
         self.current: DigestedHead | None = None
@@ -63,18 +63,18 @@
         self.counters: Counter[str] = Counter()
 
     def version(self) -> int:
-        """Return the version in force, or 0."""
+        """Return the version in force, or 0 if there is none."""
         return self.current.version if self.current else 0
 
     def first_root(self, version: int) -> str | None:
-        """Return the digest that was first seen under a version number."""
+        """Return the first digest that was offered for a version, or None."""
         for each in (self.current, *self.candidates.values(), *self.refused.values()):
             if each and each.version == version:
                 return each.root
         return None
 
     def classify(self, version: int, root: str) -> Verdict:
-        """Compare a version with what is held, without changing anything."""
+        """Compare a version with the known ones without changing the state."""
         first = self.first_root(version)
         if first is not None and first != root:
             return Verdict.CONFLICT
@@ -89,7 +89,7 @@
         return Verdict.NEW
 
     def offer(self, offered: DigestedHead) -> Verdict:
-        """Judge a head, count it, and make it a candidate if it is new."""
+        """Classify and count a head, and make it a candidate if it is new."""
         verdict = self.classify(offered.version, offered.root)
         self.counters[f"head-{verdict.value}"] += 1
         if verdict is not Verdict.NEW:
@@ -103,13 +103,13 @@
         return verdict
 
     def newest_candidates(self) -> list[DigestedHead]:
-        """Return the candidates, the newest first."""
+        """Return the candidates, newest first."""
         return [self.candidates[v] for v in sorted(self.candidates, reverse=True)]
 
     def install(self, installed: DigestedHead) -> None:
-        """Put a candidate in force and forget those it overtakes."""
-        # A version below the one in force must not get here; if it did, calls
-        # would meet rules that were withdrawn. Better no install than that.
+        """Put a candidate in force and drop the candidates that it supersedes."""
+        # An older version should never get here. Installing it would apply rules that
+        # were withdrawn, so it is skipped.
         if installed.version <= self.version():
             self.counters["install-not-newer"] += 1
             return
@@ -117,14 +117,14 @@
         self.drop_superseded()
 
     def refuse(self, refused: DigestedHead) -> None:
-        """Remember a candidate that failed validation."""
+        """Record a candidate that failed validation."""
         del self.candidates[refused.version]
         self.refused[refused.version] = refused
         while len(self.refused) > REFUSED_LIMIT:
             del self.refused[min(self.refused)]
 
     def newest_refused(self) -> DigestedHead | None:
-        """Return the newest refused version above the one in force."""
+        """Return the newest refused version if it is newer than the one in force."""
         if not self.refused or max(self.refused) <= self.version():
             return None
         return self.refused[max(self.refused)]
--- a/sequoiaspoke/core/snapshot/holder.py
+++ b/sequoiaspoke/core/snapshot/holder.py
@@ -1,4 +1,4 @@
-"""The version in force and what it takes to replace it."""
+"""Hold the version in force and gather the parts of newer versions."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class HeadDecision:
-    """What became of an offered head.
+    """Result of offering a head.
 
     Attributes
     ----------
     missing : tuple of str
-        Digests of the parts to fetch before it can be installed.
+        Digests of the parts to fetch before the head can be installed.
     installed : Snapshot or None
-        Set where every part was held already.
+        The new snapshot if all parts were available already.
     """
 
     verdict: Verdict
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class PartDecision:
-    """What became of an offered part; `taken` is False for corrupt bytes."""
+    """Result of offering a part; `accepted` is False for corrupt bytes."""
 
     accepted: bool
     installed: Snapshot | None = None
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class RefusedVersion:
-    """A version that failed validation, for the operators' pages."""
+    """A version that failed validation, as the status page shows it."""
 
     version: int
     source: str
@@ -57,9 +57,9 @@
 
 
 class SnapshotHolder:
-    """Gathers the parts of newer versions and installs them whole or not at all.
+    """Gathers the parts of newer versions and installs each version atomically.
 
-    Callers read `current` once for each call and keep the reference until the
+    Code that handles a call reads `current` once and keeps that reference until the
     call ends.
     """
 
@@ -80,11 +80,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, or 0."""
+        """Return the version in force, or 0 if there is none."""
         return self.gate.version()
 
     def offer_head(self, head: Head, source: str, now: float) -> HeadDecision:
-        """Take a head that the platform or a peer told of."""
+        """Process a head from the platform or from a peer."""
         offered = digest_head(head)
         verdict = self.gate.offer(offered)
         if verdict is Verdict.NEW:
@@ -100,7 +100,7 @@
         return HeadDecision(verdict, self.store.missing(head), installed)
 
     def offer_part(self, digest: str, packed: bytes, now: float) -> PartDecision:
-        """Take a part; installs the newest candidate that it makes whole."""
+        """Process a part; install the newest candidate that it completes."""
         if digest in self.store:
             self.counters["part-again"] += 1
             return PartDecision(True)
@@ -115,14 +115,14 @@
         return PartDecision(True, self.try_install(now))
 
     def missing(self) -> tuple[str, ...]:
-        """Return the digests to fetch, those of the newest candidate first."""
+        """Return the digests of the parts to fetch, newest candidate first."""
         digests: dict[str, None] = {}
         for candidate in self.gate.newest_candidates():
             digests.update(dict.fromkeys(self.store.missing(candidate.head)))
         return tuple(digests)
 
     def try_install(self, now: float) -> Snapshot | None:
-        """Install the newest whole candidate unless installs are on hold."""
+        """Install the newest complete candidate unless installs are paused."""
         if self.installs_paused:
             return None
         for candidate in self.gate.newest_candidates():
@@ -134,7 +134,7 @@
         return None
 
     def build_and_install(self, candidate: DigestedHead, now: float) -> Snapshot | None:
-        """Put a whole candidate in force, or remember why it is refused."""
+        """Install a complete candidate, or record why it is refused."""
         source = self.sources.get(candidate.version, "")
         try:
             snapshot = build_snapshot(candidate.head, self.store, self.current)
@@ -154,14 +154,14 @@
         return snapshot
 
     def find_by_root(self, root: str) -> DigestedHead | None:
-        """Return the version in force, before it or refused that has a digest."""
+        """Return the current, previous or refused head that has a digest, or None."""
         for each in (self.gate.current, self.previous, *self.gate.refused.values()):
             if each and each.root == root:
                 return each
         return None
 
     def drop_unused_parts(self) -> None:
-        """Drop parts that no version in use needs."""
+        """Drop the parts that no known version needs any more."""
         kept = [*self.gate.candidates.values(), *self.gate.refused.values()]
         heads = [each.head for each in kept if each.version > self.version]
         heads += [each.head for each in (self.gate.current, self.previous) if each]
--- a/sequoiaspoke/core/snapshot/install.py
+++ b/sequoiaspoke/core/snapshot/install.py
@@ -1,9 +1,8 @@
-"""Build a whole snapshot from a head and its parts, or refuse all of it.
+"""Build a snapshot from a head and its parts, or refuse the whole version.
 
-Every node runs this same pure function on the same bytes, so a version is
-taken everywhere or nowhere. Parts whose digest did not change are taken over
-from the snapshot before, which keeps the churn of endpoints cheap: one changed
-service costs the decoding of one service.
+Every node runs the same pure function on the same bytes, so a version is installed
+either by all nodes or by none. Parts whose digest did not change are reused from the
+previous snapshot, so a change of one service decodes only that service.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
     Raises
     ------
     VersionRefusedError
-        Some part is not what it should be, or the whole contradicts itself.
+        A part is invalid, or the parts are inconsistent with each other.
     """
     problems: list[Problem] = []
     rules = _decode_rules(head, store, previous, problems)
@@ -46,8 +45,8 @@
 def _unchanged_parts(
     rules: tuple[Rule, ...], services: dict[str, Service], previous: Snapshot | None
 ) -> UnchangedParts:
-    # Looking at 2,000 endpoints again for each change of one holds up the loop,
-    # and every call on it, for tens of milliseconds.
+    # Validating 2,000 endpoints again for each change of one would block the event
+    # loop, and so every call, for tens of milliseconds.
     if previous is None:
         return UnchangedParts()
     previous_services = previous.services
@@ -99,7 +98,7 @@
 def _decode_service(name: str, content: bytes) -> Service:
     service = codec.decode_service(content)
     if service.name != name:
-        raise DocumentError(f"the part holds service {service.name!r}")
+        raise DocumentError(f"the part contains service {service.name!r}")
     return service
 
 
--- a/sequoiaspoke/core/snapshot/model.py
+++ b/sequoiaspoke/core/snapshot/model.py
@@ -1,4 +1,4 @@
-"""A version of the configuration: its head, its parts and the whole."""
+"""Data model of a version: head, snapshot and VM list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def service_part(service: str) -> str:
-    """Return the name of the part that holds a service."""
+    """Return the name of the part that contains a service."""
     return SERVICE_PREFIX + service
 
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """One whole version; calls in flight keep the one they began with."""
+    """One complete version; a call in flight keeps the one it started with."""
 
     head: Head
     rules: tuple[Rule, ...]
@@ -43,7 +43,7 @@
 
 
 class VmState(Enum):
-    """What the platform says of a VM."""
+    """State of a VM as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """One VM of the platform's list, with the ports of its node."""
+    """One VM of the platform's list and the ports of its node."""
 
     name: str
     zone: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class VmList:
-    """The platform's list of VMs, which lags behind the truth."""
+    """The platform's list of VMs, which may be out of date."""
 
     revision: int = 0
     vms: tuple[Vm, ...] = ()
--- a/sequoiaspoke/core/snapshot/publish.py
+++ b/sequoiaspoke/core/snapshot/publish.py
@@ -1,4 +1,4 @@
-"""Documents of a version, as operators publish them."""
+"""Build the documents of a version that operators publish."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True)
 class Publication:
-    """A head and the packed parts it names, by digest."""
+    """A head and its compressed parts by digest."""
 
     head: Head
     parts: dict[str, bytes]
 
     def documents(self) -> dict[str, bytes]:
-        """Return every document in publishing order: parts before the head."""
+        """Return all documents in publishing order: the parts before the head."""
         documents = {PART_PREFIX + name: data for name, data in self.parts.items()}
         documents[HEAD_DOCUMENT] = codec.encode_head(self.head)
         return documents
--- a/sequoiaspoke/core/snapshot/store.py
+++ b/sequoiaspoke/core/snapshot/store.py
@@ -1,4 +1,4 @@
-"""Packed parts by digest, kept for this node and for peers that pull them."""
+"""Store compressed parts by digest for this node and for peers that fetch them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PartStore:
-    """Holds each part once, whatever versions use it."""
+    """Holds each part once, however many versions use it."""
 
     def __init__(self) -> None:
         self.parts: dict[str, bytes] = {}
@@ -22,30 +22,30 @@
         return digest in self.parts
 
     def add(self, digest: str, packed: bytes) -> None:
-        """Keep a part after checking it.
+        """Store a part after verifying it.
 
         Raises
         ------
         DocumentError
-            The bytes are not the content that the digest names.
+            The bytes are not the content with that digest.
         """
         codec.unpack(packed, digest)
         self.parts[digest] = packed
 
     def get(self, digest: str) -> bytes | None:
-        """Return the packed bytes of a part, or None."""
+        """Return the compressed bytes of a part, or None."""
         return self.parts.get(digest)
 
     def missing(self, head: Head) -> tuple[str, ...]:
-        """Return the digests of a head's parts that are not held."""
+        """Return the digests of a head's parts that are not stored."""
         digests = dict.fromkeys(head.parts.values())
         return tuple(digest for digest in digests if digest not in self.parts)
 
     def keep_only(self, heads: Iterable[Head]) -> None:
-        """Drop every part that none of the heads names."""
+        """Drop the parts that none of the heads refers to."""
         needed = {digest for head in heads for digest in head.parts.values()}
         self.parts = {d: packed for d, packed in self.parts.items() if d in needed}
 
     def size(self) -> int:
-        """Return the bytes held."""
+        """Return the number of bytes stored."""
         return sum(map(len, self.parts.values()))
--- a/sequoiaspoke/tests/test_codec.py
+++ b/sequoiaspoke/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the documents' encoding."""
+"""Tests of encoding and decoding documents."""
 
 import json
 
@@ -51,10 +51,10 @@
 
 
 class CorruptPartTests(TestCase):
-    """A part arrives with bytes lost or changed on its way.
+    """A part arrives truncated or with changed bytes.
 
-    Without the digest a node would enforce rules that nobody published, and a
-    foreman's booking would go to the wrong service.
+    Without verifying the digest, a node would apply rules that were never published and
+    route calls to the wrong service.
     """
 
     def test_cut_changed_and_foreign_parts_are_refused(self):
--- a/sequoiaspoke/tests/test_snapshot.py
+++ b/sequoiaspoke/tests/test_snapshot.py
@@ -34,10 +34,10 @@
 
 
 class GateTests(TestCase):
-    """Heads cross in transit: an older one arrives after a newer one.
+    """Heads are reordered in transit: an older one arrives after a newer one.
 
-    If a node went back, a withdrawn rule would decide calls again and a
-    mourner's order would go to a service that is no longer meant to take it.
+    If a node installed the older one, withdrawn rules would route calls again, to
+    services that should no longer get them.
     """
 
     def test_versions_never_go_back(self):
@@ -74,10 +74,10 @@
 
 
 class AtomicInstallTests(TestCase):
-    """Parts get lost or corrupted, or a bad version is published.
+    """Parts are lost or corrupted, or an invalid version is published.
 
-    Half a version would route calls by rules whose services are not there; a
-    foreman would get errors for a booking that both versions could take.
+    A partly installed version would have rules without their services, and calls that
+    both the old and the new version can route would fail.
     """
 
     def test_a_version_is_installed_only_with_all_its_parts(self):
@@ -121,11 +121,10 @@
 
 
 class BoundsTests(TestCase):
-    """A publisher's tool goes wrong and writes numbers or names that no message
-    between nodes can carry.
+    """A faulty publishing tool writes numbers or names that messages cannot carry.
 
-    A node that took them would fail when it passes them on, and its neighbours
-    would hear of no later version either.
+    A node that accepted them would fail when it passes them on, and its peers would not
+    learn of any later version either.
     """
 
     def test_heads_and_vm_lists_out_of_bounds_are_refused(self):
@@ -145,10 +144,10 @@
 
 
 class ChurnTests(TestCase):
-    """Targets come and go all day; each change moves one part.
+    """Targets come and go frequently, and each change affects one part.
 
-    If every change cost the decoding of everything, a fleet that churns would
-    spend its processors on configuration instead of calls.
+    If every change decoded all parts, nodes would spend their CPU time on configuration
+    instead of calls.
     """
 
     def test_only_the_changed_service_is_fetched_and_decoded(self):
