--- a/sequoiaspoke/__main__.py
+++ b/sequoiaspoke/__main__.py
@@ -31,29 +31,29 @@
 }
 
 
-def load(place: str) -> Any:
+def load(location: str) -> Any:
     """Import the function, or the table of functions, of a subcommand."""
-    module_name, _, function = place.partition(":")
+    module_name, _, function = location.partition(":")
     module = importlib.import_module(f"sequoiaspoke.commands.{module_name}")
     return getattr(module, function or "COMMANDS")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run a subcommand and return the exit code."""
-    words = list(sys.argv[1:] if argv is None else argv)
-    if words == ["--version"]:
+    args = list(sys.argv[1:] if argv is None else argv)
+    if args == ["--version"]:
         print(__version__)
         return 0
     try:
-        return run_node(words[1]) if is_plain_node(words) else run_command(words)
+        return run_node(args[1]) if is_plain_node(args) else run_command(args)
     except SequoiaspokeError as error:
         print(f"{error.code}: {error}", file=sys.stderr)
         return error.exit_code
 
 
-def is_plain_node(words: list[str]) -> bool:
+def is_plain_node(args: list[str]) -> bool:
     """Tell whether the words are `node SETTINGS` and nothing else."""
-    return len(words) == 2 and words[0] == "node" and not words[1].startswith("-")
+    return len(args) == 2 and args[0] == "node" and not args[1].startswith("-")
 
 
 def run_node(settings: str) -> int:
@@ -65,15 +65,15 @@
     return load(COMMANDS["node"])(settings)
 
 
-def run_command(words: list[str]) -> int:
+def run_command(args: list[str]) -> int:
     """Run the subcommand that the words ask for."""
     import defopt
 
-    chosen = [words[0]] if words and words[0] in COMMANDS else list(COMMANDS)
-    table = {name: load(COMMANDS[name]) for name in chosen}
+    names = [args[0]] if args and args[0] in COMMANDS else list(COMMANDS)
+    commands = {name: load(COMMANDS[name]) for name in names}
     result = defopt.run(
-        table,
-        argv=words,
+        commands,
+        argv=args,
         version=__version__,
         no_negated_flags=True,
         argparse_kwargs={"prog": "sequoiaspoke"},
--- a/sequoiaspoke/commands/declarations.py
+++ b/sequoiaspoke/commands/declarations.py
@@ -9,7 +9,7 @@
 from sequoiaspoke.core.rules.validate import errors_of, validate
 from sequoiaspoke.errors import DeclarationsError, Problem
 
-PATTERN = "*.ini"
+FILE_PATTERN = "*.ini"
 
 
 def read_declarations(directory: str) -> Declarations:
@@ -20,9 +20,9 @@
     DeclarationsError
         The directory or a file cannot be read, or its text cannot be used.
     """
-    paths = sorted(Path(directory).glob(PATTERN))
+    paths = sorted(Path(directory).glob(FILE_PATTERN))
     if not paths:
-        raise DeclarationsError((Problem(f"no {PATTERN} file found", directory),))
+        raise DeclarationsError((Problem(f"no {FILE_PATTERN} file found", directory),))
     files = {}
     problems = []
     for path in paths:
--- a/sequoiaspoke/commands/explain.py
+++ b/sequoiaspoke/commands/explain.py
@@ -28,7 +28,7 @@
     :param zone: availability zone that the request comes from
     """
     declarations, _ = check_declarations(directory)
-    request = _request(method, url, header, zone)
+    request = _build_request(method, url, header, zone)
     explanation = compile_rules(declarations.rules).explain(request)
     print(f"request: {request.method} {request.path}")
     for mismatch in explanation.mismatches:
@@ -36,7 +36,7 @@
     print(_describe_rule(explanation.decision.rule))
 
 
-def _request(method: str, url: str, headers: list[str], zone: str) -> RequestHead:
+def _build_request(method: str, url: str, headers: list[str], zone: str) -> RequestHead:
     try:
         parts = urlsplit(url)
     except ValueError as error:
@@ -56,7 +56,7 @@
     found = "nothing" if mismatch.found is None else repr(mismatch.found)
     wanted = describe_condition(mismatch.condition)
     return (
-        f"{_place(mismatch.rule)}: rule {mismatch.rule.name} no: {wanted}; "
+        f"{_location(mismatch.rule)}: rule {mismatch.rule.name} no: {wanted}; "
         f"found {found}"
     )
 
@@ -66,12 +66,12 @@
         return "no rule decides: the request is refused with 404 no-rule"
     policy = rule.policy
     return (
-        f"{_place(rule)}: rule {rule.name} decides: {describe_action(rule.then)}; "
+        f"{_location(rule)}: rule {rule.name} decides: {describe_action(rule.then)}; "
         f"timeout {policy.timeout:g}; attempts {policy.attempts}; "
         f"idempotent {'yes' if policy.idempotent else 'no'}; "
         f"priority {policy.priority.value}; caller {policy.caller_header or 'address'}"
     )
 
 
-def _place(rule: Rule) -> str:
+def _location(rule: Rule) -> str:
     return f"{rule.file}:{rule.line}"
--- a/sequoiaspoke/commands/held.py
+++ b/sequoiaspoke/commands/held.py
@@ -57,7 +57,7 @@
         No node answered.
     """
     client = SimpleAsyncHTTPClient(force_instance=True)
-    faults = []
+    failures = []
     answered = False
     try:
         for address in addresses:
@@ -66,14 +66,14 @@
             except (HTTPClientError, OSError) as error:
                 unknown = isinstance(error, HTTPClientError) and error.code == NOT_FOUND
                 answered |= unknown
-                faults.append(f"{address}: {error}")
+                failures.append(f"{address}: {error}")
             else:
                 return address
     finally:
         client.close()
     if answered:
         raise NotSuspectedError(fingerprint)
-    raise NodeUnreachableError("; ".join(faults) or "no address was given")
+    raise NodeUnreachableError("; ".join(failures) or "no address was given")
 
 
 async def post(
@@ -91,22 +91,22 @@
 
 def as_table(nodes: list[NodeStatus]) -> str:
     """Return one line for each request that some node holds back."""
-    return aligned([HEADINGS, *(_cells(request) for request in merge(nodes))])
+    return aligned([HEADINGS, *(_row(request) for request in merge(nodes))])
 
 
 def merge(nodes: list[NodeStatus]) -> list[dict[str, Any]]:
     """Return the requests held back anywhere, with the nodes that do."""
-    found: dict[tuple[str, str], dict[str, Any]] = {}
+    requests: dict[tuple[str, str], dict[str, Any]] = {}
     for node in nodes:
         for each in node.page.get("held") or []:
             key = (each["service"], each["fingerprint"])
-            request = found.setdefault(key, {**each, "nodes": 0})
+            request = requests.setdefault(key, {**each, "nodes": 0})
             request["nodes"] += 1
             request["seconds_left"] = max(request["seconds_left"], each["seconds_left"])
-    return [found[key] for key in sorted(found)]
+    return [requests[key] for key in sorted(requests)]
 
 
-def _cells(request: dict[str, Any]) -> tuple[str, ...]:
+def _row(request: dict[str, Any]) -> tuple[str, ...]:
     crashes = sorted(request["crashes"], key=lambda crash: crash["seconds_ago"])
     upstreams = (f"{each['instance']}({each['seconds_ago']:.0f}s)" for each in crashes)
     return (
--- a/sequoiaspoke/commands/measure.py
+++ b/sequoiaspoke/commands/measure.py
@@ -236,11 +236,11 @@
     from sequoiaspoke.measure.cost import measure_cost
     from sequoiaspoke.measure.costreport import cost_plot, cost_table
 
-    found = run_measurement(measure_cost(sizes, calls))
-    print(cost_table(found))
+    results = run_measurement(measure_cost(sizes, calls))
+    print(cost_table(results))
     if plot:
-        Path(plot).write_text(cost_plot(found), encoding="utf-8")
-    print(json.dumps([dataclasses.asdict(each) for each in found]))
+        Path(plot).write_text(cost_plot(results), encoding="utf-8")
+    print(json.dumps([dataclasses.asdict(each) for each in results]))
 
 
 def cost_node(peers: int) -> None:
@@ -270,9 +270,9 @@
     """
     from sequoiaspoke.measure.meshreport import measure_mesh, mesh_table
 
-    found = measure_mesh(scenarios, seeds)
-    print(mesh_table(found))
-    print(json.dumps([dataclasses.asdict(each) for each in found]))
+    results = measure_mesh(scenarios, seeds)
+    print(mesh_table(results))
+    print(json.dumps([dataclasses.asdict(each) for each in results]))
 
 
 COMMANDS = {
--- a/sequoiaspoke/commands/node.py
+++ b/sequoiaspoke/commands/node.py
@@ -24,13 +24,13 @@
 
 async def run(process: Node) -> None:
     """Run a node until a signal asks it to stop."""
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     await process.start()
     spare_the_collector()
-    await stopping.wait()
+    await stop_requested.wait()
     await process.stop()
 
 
--- a/sequoiaspoke/commands/nodestatus.py
+++ b/sequoiaspoke/commands/nodestatus.py
@@ -13,7 +13,7 @@
 from sequoiaspoke.errors import NodeUnreachableError
 
 PAGE_LIMIT = 4_000_000  # bytes, so that a wrong address cannot fill the memory
-MAX_QUESTIONS = 100  # nodes asked at the same time
+MAX_CONCURRENT_REQUESTS = 100  # nodes asked at the same time
 
 
 @dataclass(frozen=True)
@@ -56,11 +56,13 @@
 async def ask_nodes(addresses: tuple[str, ...], timeout: float) -> list[NodeStatus]:
     """Ask every node; one that does not answer yields a status with a fault."""
     client = SimpleAsyncHTTPClient(
-        force_instance=True, max_clients=MAX_QUESTIONS, max_body_size=PAGE_LIMIT
+        force_instance=True,
+        max_clients=MAX_CONCURRENT_REQUESTS,
+        max_body_size=PAGE_LIMIT,
     )
     try:
-        questions = (ask_node(client, address, timeout) for address in addresses)
-        return list(await asyncio.gather(*questions))
+        requests = (ask_node(client, address, timeout) for address in addresses)
+        return list(await asyncio.gather(*requests))
     finally:
         client.close()
 
--- a/sequoiaspoke/commands/status.py
+++ b/sequoiaspoke/commands/status.py
@@ -17,7 +17,7 @@
     "node zone target version since learnt-from state in-flight "
     "queued limit ledger ejected calls refused unknown retried details last-refused"
 ).split()
-LONGEST = 80  # characters of one cell
+MAX_CELL_LENGTH = 80  # characters of one cell
 
 
 def status(*addresses: str, json: bool = False, timeout: float = 5.0) -> None:
@@ -42,13 +42,13 @@
 
 def as_table(nodes: list[NodeStatus], now: float) -> str:
     """Return one line for each node, columns aligned."""
-    return aligned([HEADINGS, *(_cells(node, now) for node in nodes)])
+    return aligned([HEADINGS, *(_row(node, now) for node in nodes)])
 
 
-def _cells(node: NodeStatus, now: float) -> list[str]:
+def _row(node: NodeStatus, now: float) -> list[str]:
     if node.fault:
-        silence = ["-"] * (len(HEADINGS) - 2)
-        return [node.address, *silence, _short(f"no answer: {node.fault}")]
+        blanks = ["-"] * (len(HEADINGS) - 2)
+        return [node.address, *blanks, _shorten(f"no answer: {node.fault}")]
     cells = [
         node.text("name"),
         node.text("zone"),
@@ -63,11 +63,11 @@
         _details(node),
         _last_refused(node),
     ]
-    return [_short(cell) for cell in cells]
+    return [_shorten(cell) for cell in cells]
 
 
-def _age(at: float | None, now: float) -> str:
-    return "-" if at is None else f"{max(0.0, now - at):.0f}s"
+def _age(installed_at: float | None, now: float) -> str:
+    return "-" if installed_at is None else f"{max(0.0, now - installed_at):.0f}s"
 
 
 def _state(node: NodeStatus) -> str:
@@ -87,11 +87,11 @@
     details = node.page.get("details")
     if not isinstance(details, dict):
         return "-"
-    cells = ((key, _brief(value)) for key, value in sorted(details.items()))
+    cells = ((key, _summarize(value)) for key, value in sorted(details.items()))
     return " ".join(f"{key}={text}" for key, text in cells if text) or "-"
 
 
-def _brief(value: object) -> str:
+def _summarize(value: object) -> str:
     """Return a value in a word, a list by its length, nothing for a group."""
     if isinstance(value, bool):
         return "yes" if value else "no"
@@ -105,6 +105,6 @@
     return "-" if version is None else f"{version}: {node.text('last_refused_reason')}"
 
 
-def _short(cell: str) -> str:
+def _shorten(cell: str) -> str:
     line = " ".join(cell.split())
-    return line if len(line) <= LONGEST else line[: LONGEST - 3] + "..."
+    return line if len(line) <= MAX_CELL_LENGTH else line[: MAX_CELL_LENGTH - 3] + "..."
--- a/sequoiaspoke/commands/versionof.py
+++ b/sequoiaspoke/commands/versionof.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from sequoiaspoke.commands.nodestatus import NodeStatus
 
-PAUSE = 0.2  # seconds between two rounds
-QUESTION_TIMEOUT = 5.0  # seconds for one node's answer
+POLL_INTERVAL = 0.2  # seconds between two rounds
+NODE_TIMEOUT = 5.0  # seconds for one node's answer
 
 
 def version_of(*addresses: str, wait: int = 0, timeout: float = 30.0) -> None:
@@ -35,7 +35,7 @@
     if not behind:
         print(f"awaited={wait} nodes={len(nodes)} seconds={seconds:.1f}")
         return
-    reasons = "; ".join(map(_why_behind, behind))
+    reasons = "; ".join(map(_describe_behind, behind))
     if wait:
         raise NotConvergedError(f"version {wait} is not in force at {reasons}")
     raise NodeUnreachableError(reasons)
@@ -47,25 +47,25 @@
     """Ask until every node enforces the version, at most for the time given."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
-    newest: dict[str, NodeStatus] = {}
-    waiting = addresses
+    latest: dict[str, NodeStatus] = {}
+    pending = addresses
     while True:
-        left = max(PAUSE, deadline - loop.time())
-        for node in await ask_nodes(waiting, min(QUESTION_TIMEOUT, left)):
-            newest[node.address] = node
+        remaining = max(POLL_INTERVAL, deadline - loop.time())
+        for node in await ask_nodes(pending, min(NODE_TIMEOUT, remaining)):
+            latest[node.address] = node
         # A node that enforces the version is not asked again: versions never
         # decrease, and a fleet of thousands is asked in rounds.
-        waiting = tuple(
+        pending = tuple(
             address
             for address in addresses
-            if newest[address].fault or newest[address].version < wait
+            if latest[address].fault or latest[address].version < wait
         )
-        if not waiting or not wait or loop.time() + PAUSE > deadline:
-            return [newest[address] for address in addresses]
-        await asyncio.sleep(PAUSE)
+        if not pending or not wait or loop.time() + POLL_INTERVAL > deadline:
+            return [latest[address] for address in addresses]
+        await asyncio.sleep(POLL_INTERVAL)
 
 
-def _why_behind(node: NodeStatus) -> str:
+def _describe_behind(node: NodeStatus) -> str:
     if node.fault:
         return f"{node.address} (no answer: {node.fault})"
     refused = node.page.get("last_refused_version")
--- a/sequoiaspoke/tests/test_commands.py
+++ b/sequoiaspoke/tests/test_commands.py
@@ -35,13 +35,13 @@
 def run(*words):
     """Run a command from the root of the tree; return its status and output."""
     out, err = io.StringIO(), io.StringIO()
-    place = os.getcwd()
+    previous = os.getcwd()
     os.chdir(ROOT)
     try:
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             status = main(list(words))
     finally:
-        os.chdir(place)
+        os.chdir(previous)
     return status, out.getvalue() + err.getvalue()
 
 
@@ -53,9 +53,9 @@
             status, text = run("check", f"examples/{name}")
             self.assertEqual(0, status)
             for request in requests:
-                status, answer = run("explain", f"examples/{name}", *request)
+                status, output = run("explain", f"examples/{name}", *request)
                 self.assertEqual(0, status)
-                text += f"\n$ explain {' '.join(request)}\n{answer}"
+                text += f"\n$ explain {' '.join(request)}\n{output}"
             assert_golden(self, f"explain-{name}.txt", text)
 
     def test_render(self):
@@ -64,14 +64,16 @@
             self.addCleanup(shutil.rmtree, out)
             status, text = run("render", f"examples/{name}", out, "--version", "7")
             self.assertEqual(0, status)
-            assert_golden(self, f"render-{name}.txt", text + self.readable(Path(out)))
+            assert_golden(
+                self, f"render-{name}.txt", text + self.readable_documents(Path(out))
+            )
 
-    def test_a_version_that_nodes_cannot_tell_each_other_is_refused(self):
+    def test_a_version_number_out_of_range_is_refused(self):
         for number in ("0", "-3", str(2**63)):
             status, _ = run("render", "examples/abay", "unused", "--version", number)
             self.assertEqual(2, status)
 
-    def readable(self, out):
+    def readable_documents(self, out):
         """Return the documents' content, one JSON value a line."""
         head = decode_head((out / "head").read_bytes())
         lines = []
@@ -104,7 +106,7 @@
 
 
 class FaultyDeclarationsTests(TestCase):
-    def test_check_reports_every_fault_and_the_exit_code(self):
+    def test_check_reports_every_error_and_the_exit_code(self):
         status, text = run("check", "sequoiaspoke/tests/golden/faulty")
         self.assertEqual(3, status)
         assert_golden(self, "check-faulty.txt", text)
@@ -112,6 +114,6 @@
     def test_a_directory_without_declarations_is_an_error(self):
         self.assertEqual(3, run("check", "no-such-directory")[0])
 
-    def test_a_request_that_cannot_be_read_is_an_error(self):
+    def test_a_request_that_cannot_be_parsed_is_an_error(self):
         status, text = run("explain", "examples/abay", "GET", "http://[x/")
         self.assertEqual(2, status, text)
--- a/sequoiaspoke/tests/test_status.py
+++ b/sequoiaspoke/tests/test_status.py
@@ -39,10 +39,10 @@
     "details": {"links": ["a", "b"], "rank": 1, "watching": True, "events": {"x": 1}},
     "last_refused_version": None,
 }
-NOBODY = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 
 
-class Pages:
+class PageSequence:
     """Serves status pages whose version rises with each question."""
 
     def __init__(self, versions):
@@ -93,7 +93,7 @@
         ]
         assert_golden(self, "status.txt", as_table(nodes, 1012.4) + "\n")
 
-    def test_pages_that_are_no_node_s_are_told_apart(self):
+    def test_pages_that_are_not_a_node_s_are_rejected(self):
         for body in (b"", b"[]", b"{}", b'{"version": "7"}', b"[" * 100_000):
             self.assertRaises(NodeUnreachableError, read_status, "a", body)
 
@@ -101,15 +101,15 @@
 class VersionOfTests(TestCase):
     def test_it_waits_until_a_node_enforces_the_version(self):
         async def wait():
-            with served(Pages([5, 6, 7])) as address:
+            with served(PageSequence([5, 6, 7])) as address:
                 return await follow((address,), 7, 10.0)
 
         self.assertEqual([7], [node.version for node in asyncio.run(wait())])
 
-    def test_a_node_that_stays_behind_or_silent_is_named(self):
+    def test_a_node_that_is_behind_or_does_not_answer_is_named(self):
         async def ask():
-            with served(Pages([5])) as address:
-                return address, await ask_nodes((address, NOBODY), 2.0)
+            with served(PageSequence([5])) as address:
+                return address, await ask_nodes((address, UNUSED_ADDRESS), 2.0)
 
         address, nodes = asyncio.run(ask())
         self.assertEqual([5, 0], [node.version for node in nodes])
@@ -122,7 +122,7 @@
 
 
 class LiveStatusTests(LoopbackTestCase):
-    def test_a_node_tells_every_column(self):
+    def test_a_node_fills_every_column(self):
         async def test(deployment):
             ports = [site.node.ports["admin"] for site in deployment.sites]
             addresses = tuple(f"127.0.0.1:{port}" for port in ports)
