--- a/sequoiaspoke/__main__.py
+++ b/sequoiaspoke/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: picks the subcommand and hands over to it."""
+"""Command line: select and run a subcommand."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Where each subcommand lives: "module:function", or "module" with a COMMANDS
-# table of its own. Only the module of the command that was asked for is
-# imported, which keeps a node's start short and its memory small.
+# Location of each subcommand: "module:function", or "module" if the module has its own
+# COMMANDS table. Only the module of the requested command is imported, so that a node
+# starts quickly and uses little memory.
 COMMANDS = {
     "node": "node:node",
     "check": "check:check",
@@ -32,7 +32,7 @@
 
 
 def load(location: str) -> Any:
-    """Import the function, or the table of functions, of a subcommand."""
+    """Import the function or the COMMANDS table of a subcommand."""
     module_name, _, function = location.partition(":")
     module = importlib.import_module(f"sequoiaspoke.commands.{module_name}")
     return getattr(module, function or "COMMANDS")
@@ -52,21 +52,21 @@
 
 
 def is_plain_node(args: list[str]) -> bool:
-    """Tell whether the words are `node SETTINGS` and nothing else."""
+    """Return whether the arguments are exactly `node SETTINGS`."""
     return len(args) == 2 and args[0] == "node" and not args[1].startswith("-")
 
 
 def run_node(settings: str) -> int:
-    """Run a node without the library that reads command lines.
+    """Run a node without importing defopt.
 
-    That library parses docstrings for its help and holds 5 MB for it, which
-    every VM would carry for as long as its node runs.
+    To build its help texts, defopt parses doc strings, which takes 5 MB of memory that
+    every node would keep as long as it runs.
     """
     return load(COMMANDS["node"])(settings)
 
 
 def run_command(args: list[str]) -> int:
-    """Run the subcommand that the words ask for."""
+    """Parse the arguments and run the subcommand."""
     import defopt
 
     names = [args[0]] if args and args[0] in COMMANDS else list(COMMANDS)
--- a/sequoiaspoke/commands/check.py
+++ b/sequoiaspoke/commands/check.py
@@ -8,8 +8,8 @@
 def check(directory: str) -> None:
     """Check declarations of rules and services.
 
-    Prints warnings, and what was found. Ends with status 3 where the
-    declarations must not be published.
+    Prints the warnings and a summary. Exits with status 3 if the declarations have
+    errors and must not be published.
 
     :param directory: directory with `*.ini` files
     """
--- a/sequoiaspoke/commands/declarations.py
+++ b/sequoiaspoke/commands/declarations.py
@@ -1,4 +1,4 @@
-"""Reads a declarations directory for the commands that take one."""
+"""Read and check a declarations directory for the commands that take one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Raises
     ------
     DeclarationsError
-        The directory or a file cannot be read, or its text cannot be used.
+        The directory has no such file, or a file cannot be read or parsed.
     """
     paths = sorted(Path(directory).glob(FILE_PATTERN))
     if not paths:
@@ -43,12 +43,12 @@
 
 
 def check_declarations(directory: str) -> tuple[Declarations, tuple[Problem, ...]]:
-    """Read a directory and return it with its warnings.
+    """Return the declarations of a directory and their warnings.
 
     Raises
     ------
     DeclarationsError
-        The declarations must not be published; names errors and warnings.
+        The declarations have errors; lists all errors and warnings.
     """
     declarations = read_declarations(directory)
     problems = find_problems(declarations)
--- a/sequoiaspoke/commands/demo.py
+++ b/sequoiaspoke/commands/demo.py
@@ -1,4 +1,4 @@
-"""The `demo` command: a whole session on loopback."""
+"""`sequoiaspoke demo`: a complete session on loopback."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def demo() -> int:
-    """Run three zones in one process while rules change; exit 1 on a lost call."""
+    """Run three zones in one process while rules change; exit with 1 on a lost call."""
     configure_logs(LogSettings(level="WARNING"))
     return 0 if asyncio.run(Session(print).run()) else 1
--- a/sequoiaspoke/commands/diff.py
+++ b/sequoiaspoke/commands/diff.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke diff`: say what changes between two declarations."""
+"""`sequoiaspoke diff`: show the differences between two sets of declarations."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 def diff(old: str, new: str) -> None:
     """Print the rules, services and endpoints that differ.
 
-    :param old: directory with the declarations of before
-    :param new: directory with the declarations of after
+    :param old: directory with the old declarations
+    :param new: directory with the new declarations
     """
     changes = compare(read_declarations(old), read_declarations(new))
     for change in changes:
--- a/sequoiaspoke/commands/explain.py
+++ b/sequoiaspoke/commands/explain.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke explain`: say which rule a request meets, and why."""
+"""`sequoiaspoke explain`: show which rule matches a request, and why."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def explain(
     directory: str, method: str, url: str, *, header: list[str] = (), zone: str = ""
 ) -> None:
-    """Say which rule decides a request and why the earlier ones do not.
+    """Show which rule matches a request and why the earlier ones do not.
 
     :param directory: directory with `*.ini` files
     :param method: method of the request
--- a/sequoiaspoke/commands/held.py
+++ b/sequoiaspoke/commands/held.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke held` and `release`: requests that crash upstreams."""
+"""`sequoiaspoke held` and `release`: quarantined requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 def held(*addresses: str, timeout: float = 5.0) -> None:
-    """List the requests that nodes hold back as they crash upstreams.
+    """List the requests that nodes hold back because they crash upstreams.
 
-    Ends with status 7 where a node did not answer; the list is printed before.
+    Exits with status 7 if a node did not answer; the list is printed anyway.
 
     :param addresses: health addresses of the nodes, as IP:PORT
     :param timeout: seconds to wait for each node
@@ -34,10 +34,10 @@
 
 
 def release(fingerprint: str, *addresses: str, timeout: float = 5.0) -> None:
-    """Let go of a request that is held back; one node tells all others.
+    """Release a request that is held back; one node informs all others.
 
-    :param fingerprint: what `held` and the logs call the request
-    :param addresses: health addresses of nodes to ask in turn, as IP:PORT
+    :param fingerprint: fingerprint of the request, as `held` and the logs show it
+    :param addresses: health addresses of nodes to try in turn, as IP:PORT
     :param timeout: seconds to wait for each node
     """
     address = asyncio.run(release_at_one(fingerprint, addresses, timeout))
@@ -47,12 +47,12 @@
 async def release_at_one(
     fingerprint: str, addresses: tuple[str, ...], timeout: float
 ) -> str:
-    """Return the first node that has let go of a request.
+    """Release a request at the first node that can; return that node's address.
 
     Raises
     ------
     NotSuspectedError
-        All nodes that answered know nothing of the request.
+        None of the nodes that answered holds the request back.
     NodeUnreachableError
         No node answered.
     """
@@ -79,7 +79,7 @@
 async def post(
     client: AsyncHTTPClient, address: str, fingerprint: str, timeout: float
 ) -> None:
-    """Ask one node to let go of a request."""
+    """Ask one node to release a request."""
     await client.fetch(
         f"http://{address}/release/{fingerprint}",
         method="POST",
@@ -90,12 +90,12 @@
 
 
 def as_table(nodes: list[NodeStatus]) -> str:
-    """Return one line for each request that some node holds back."""
+    """Return a table with one line for each request that any node holds back."""
     return aligned([HEADINGS, *(_row(request) for request in merge(nodes))])
 
 
 def merge(nodes: list[NodeStatus]) -> list[dict[str, Any]]:
-    """Return the requests held back anywhere, with the nodes that do."""
+    """Return the requests held back by any node, each with the number of such nodes."""
     requests: dict[tuple[str, str], dict[str, Any]] = {}
     for node in nodes:
         for each in node.page.get("held") or []:
--- a/sequoiaspoke/commands/measure.py
+++ b/sequoiaspoke/commands/measure.py
@@ -1,7 +1,7 @@
-"""`sequoiaspoke measure`: figures from real processes on loopback.
+"""`sequoiaspoke measure`: benchmarks with real processes on loopback or simulations.
 
-The measuring command starts processes, which a node never does: it is a tool
-outside the mesh and plays the many VMs of a fleet on one machine.
+Unlike a node, these commands start processes: they are tools outside the mesh that
+emulate the VMs of a fleet on one machine.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     services: int = 4,
     endpoints: int = 13,
 ) -> None:
-    """Measure convergence and control cost; the last line is JSON.
+    """Measure convergence and control traffic; the last line is JSON.
 
     Parameters
     ----------
@@ -39,12 +39,12 @@
     interval : float
         Seconds from one version to the next.
     idle : float
-        Seconds without a change that are measured first.
+        Seconds without changes to measure first.
     fault : str
         none, platform-outage, half-die, pause, stale-start or
         silent-platform.
     strategy : str
-        How versions spread; empty for the nodes' default.
+        Strategy for spreading versions; empty for the nodes' default.
     services : int
         Services of the configuration.
     endpoints : int
@@ -62,16 +62,16 @@
 def load(
     *, scenario: str = "saturation-5x", policy: str = "sequoiaspoke", seed: int = 1
 ) -> None:
-    """Play load on a virtual clock and print what callers got, a JSON line a run.
+    """Simulate load and print the callers' results, one JSON line per run.
 
     Parameters
     ----------
     scenario : str
-        Name of the load pattern, or all; a wrong name lists them.
+        Name of the load pattern, or all; an unknown name lists them.
     policy : str
         sequoiaspoke, the name of a baseline, or all.
     seed : int
-        Seed of everything random.
+        Seed of the random numbers.
     """
     from sequoiaspoke.measure.load import measure_all
 
@@ -85,12 +85,12 @@
     seconds: float = 10.0,
     grants: bool = False,
 ) -> None:
-    """Measure what one and two hops add to a call; the last line is JSON.
+    """Measure the latency that one and two hops add; the last line is JSON.
 
     Parameters
     ----------
     rates : tuple[int, ...]
-        Calls a second of the one entry node, each measured in turn.
+        Calls per second at the one entry node; each rate is measured in turn.
     seconds : float
         Seconds of calls for each way at each rate.
     grants : bool
@@ -110,12 +110,12 @@
 
 
 def stream(*, megabytes: int = 1000) -> None:
-    """Measure nodes' memory while a recording passes; the last line is JSON.
+    """Measure nodes' memory while a recording is streamed; the last line is JSON.
 
     Parameters
     ----------
     megabytes : int
-        Length of the recording in each direction.
+        Size of the recording in each direction.
     """
     from sequoiaspoke.measure.stream import measure_stream
 
@@ -124,14 +124,14 @@
 
 
 def bare_proxy(address: str, port: int, upstream_port: int) -> None:
-    """Relay calls without any decision, to compare a node with.
+    """Forward calls without any decision, as a baseline for a node.
 
     Parameters
     ----------
     address : str
-        IP number to listen on and of the upstream.
+        IP address to listen on, also that of the upstream.
     port : int
-        TCP port of callers.
+        TCP port for callers.
     upstream_port : int
         TCP port of the upstream.
     """
@@ -143,14 +143,14 @@
 
 
 def run_measurement(measurement: Coroutine[Any, Any, Any]) -> Any:
-    """Run a measurement; a signal ends its processes too."""
+    """Run a measurement; SIGTERM also stops its processes."""
     return asyncio.run(cancelled_by_signal(measurement))
 
 
 async def cancelled_by_signal(measurement: Coroutine[Any, Any, Any]) -> Any:
-    """Await a measurement, cancelling it on SIGTERM.
+    """Await a measurement and cancel it on SIGTERM.
 
-    Without this the processes of the measurement would outlive it.
+    Otherwise its processes would keep running after it.
     """
     task = asyncio.ensure_future(measurement)
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -158,7 +158,7 @@
 
 
 def rules(*, rules: int = 200, services: int = 200, endpoints: int = 2000) -> None:
-    """Measure what rules cost; the line is JSON.
+    """Measure the cost of rules; the output is one line of JSON.
 
     Parameters
     ----------
@@ -183,19 +183,19 @@
     fault: str = "rolling",
     issued: bool = False,
 ) -> None:
-    """Measure keyed calls with repeats; the last line is JSON.
+    """Measure keyed calls with retries; the last line is JSON.
 
     Parameters
     ----------
     nodes : int
         Nodes, spread over three zones.
     calls : int
-        Keyed calls in all, each repeated until its outcome is known.
+        Keyed calls in total, each retried until its outcome is known.
     rate : float
-        New calls a second.
+        New calls per second.
     fault : str
         none, platform-outage, rolling (nodes are killed or stopped in turn) or
-        rolling-moves (and versions move keys).
+        rolling-moves (as rolling, and new versions move keys).
     issued : bool
         Whether callers use keys that nodes issue.
     """
@@ -206,7 +206,7 @@
 
 
 def witnesses(*, sizes: tuple[int, ...] = (4, 12, 90)) -> None:
-    """Count what witnesses cost a node, a JSON line for each size.
+    """Measure the cost of witnesses for a node, one JSON line per size.
 
     Parameters
     ----------
@@ -259,14 +259,14 @@
 
 
 def mesh(*, seeds: int = 3, scenarios: tuple[str, ...] = ()) -> None:
-    """Play what befalls zones on a virtual clock; the last line is JSON.
+    """Simulate faults of zones; the last line is JSON.
 
     Parameters
     ----------
     seeds : int
-        Plays of each scenario.
+        Runs of each scenario.
     scenarios : tuple[str, ...]
-        Names of the scenarios, none for all.
+        Names of the scenarios; none for all.
     """
     from sequoiaspoke.measure.meshreport import measure_mesh, mesh_table
 
--- a/sequoiaspoke/commands/node.py
+++ b/sequoiaspoke/commands/node.py
@@ -1,4 +1,4 @@
-"""The `node` command: one node as its own process."""
+"""`sequoiaspoke node`: run one node as a process."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def node(settings_file: str) -> int:
-    """Run a node until SIGTERM or SIGINT; a stop cuts no call in flight.
+    """Run a node until SIGTERM or SIGINT; calls in flight are completed first.
 
-    :param settings_file: the node's settings in INI.
+    :param settings_file: INI file with the node's settings
     """
     settings = load_settings(settings_file)
     configure_logs(settings.log)
@@ -23,7 +23,7 @@
 
 
 async def run(process: Node) -> None:
-    """Run a node until a signal asks it to stop."""
+    """Run a node until it receives a stop signal."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -35,11 +35,11 @@
 
 
 def spare_the_collector() -> None:
-    """Take what the start has made out of later garbage collections.
+    """Exclude the objects created at startup from later garbage collections.
 
-    A full collection goes through every object of the libraries, some 8 ms in
-    which the loop stands still and every call through the node is late. None
-    of those objects is ever freed, so none needs another look.
+    A full collection would traverse all objects of the libraries, which blocks the
+    event loop and delays every call by about 8 ms. These objects are never freed, so
+    there is no need to scan them again.
     """
     gc.collect()
     gc.freeze()
--- a/sequoiaspoke/commands/nodestatus.py
+++ b/sequoiaspoke/commands/nodestatus.py
@@ -1,4 +1,4 @@
-"""Asks many nodes at once for their status pages."""
+"""Fetch the status pages of many nodes concurrently."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 from sequoiaspoke.errors import NodeUnreachableError
 
-PAGE_LIMIT = 4_000_000  # bytes, so that a wrong address cannot fill the memory
-MAX_CONCURRENT_REQUESTS = 100  # nodes asked at the same time
+PAGE_LIMIT = 4_000_000  # bytes, so that a wrong address cannot exhaust memory
+MAX_CONCURRENT_REQUESTS = 100  # nodes asked concurrently
 
 
 @dataclass(frozen=True)
 class NodeStatus:
-    """What one node said of itself, or why it said nothing.
+    """The status of one node, or the reason why it did not answer.
 
     Attributes
     ----------
     version : int
-        Version in force; 0 where the node holds none or did not answer.
+        Version in force; 0 if the node has none or did not answer.
     page : dict
         The whole status page.
     fault : str
-        Why there is no answer; empty where there is one.
+        Why there is no answer; empty if there is one.
     """
 
     address: str
@@ -36,25 +36,25 @@
     fault: str = ""
 
     def text(self, key: str) -> str:
-        """Return one value of the page as text; a dash where it is missing."""
+        """Return a value of the page as text, or a dash if it is missing."""
         value = self.page.get(key)
         return "-" if value is None or value == "" else str(value)
 
     def total(self, key: str) -> int:
-        """Return the sum of a group of counters."""
+        """Return the sum of a group of counters on the page."""
         counters = self.page.get(key)
         if not isinstance(counters, dict):
             return 0
         return sum(count for count in counters.values() if type(count) is int)
 
     def seconds(self, key: str) -> float | None:
-        """Return a time of the page, in seconds of the wall clock."""
+        """Return a time on the page in seconds since the epoch, or None."""
         value = self.page.get(key)
         return float(value) if type(value) in (int, float) and value > 0 else None
 
 
 async def ask_nodes(addresses: tuple[str, ...], timeout: float) -> list[NodeStatus]:
-    """Ask every node; one that does not answer yields a status with a fault."""
+    """Ask all nodes; a node that does not answer yields a status with a fault."""
     client = SimpleAsyncHTTPClient(
         force_instance=True,
         max_clients=MAX_CONCURRENT_REQUESTS,
@@ -85,7 +85,7 @@
     Raises
     ------
     NodeUnreachableError
-        Some did not.
+        Some node did not answer.
     """
     faults = [f"{node.address}: {node.fault}" for node in nodes if node.fault]
     if faults:
@@ -93,17 +93,17 @@
 
 
 def read_status(address: str, body: bytes) -> NodeStatus:
-    """Read a status page.
+    """Parse a status page.
 
     Raises
     ------
     NodeUnreachableError
-        The page is not a node's.
+        The body is not the status page of a node.
     """
     try:
         page = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise NodeUnreachableError(f"no status page: {error}") from error
+        raise NodeUnreachableError(f"not a status page: {error}") from error
     if not isinstance(page, dict) or type(page.get("version")) is not int:
-        raise NodeUnreachableError("no status page of a node")
+        raise NodeUnreachableError("not the status page of a node")
     return NodeStatus(address, page["version"], page)
--- a/sequoiaspoke/commands/render.py
+++ b/sequoiaspoke/commands/render.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke render`: make the documents that operators publish."""
+"""`sequoiaspoke render`: write the documents that operators publish."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.rules.parse import Declarations
 
-MAX_VERSION = 2**63 - 1  # what nodes tell each other has 64 bits
+MAX_VERSION = 2**63 - 1  # messages between nodes carry it as a signed 64-bit integer
 
 
 def render(directory: str, out: str, *, version: int) -> None:
@@ -23,7 +23,7 @@
     the parts before the head, so that no reader finds a head without its parts.
 
     :param directory: directory with `*.ini` files
-    :param out: directory to write to; made where missing
+    :param out: directory to write to; created if missing
     :param version: number of the version, higher than any published before
     """
     if not 1 <= version <= MAX_VERSION:
@@ -42,8 +42,8 @@
 def publication_of(declarations: Declarations, version: int) -> Publication:
     """Encode declarations as one version.
 
-    Lines and file names stay behind: otherwise a new comment would give every
-    rule below it another line and all nodes would fetch the rules anew.
+    File names and line numbers are left out. Otherwise a comment added to a file would
+    change the line of every rule below it, and all nodes would fetch the rules again.
     """
     rules = tuple(
         dataclasses.replace(rule, file="", line=0) for rule in declarations.rules
--- a/sequoiaspoke/commands/standin.py
+++ b/sequoiaspoke/commands/standin.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke standin`: stand-ins for the platform and for an upstream."""
+"""`sequoiaspoke standin`: stand-ins for the platform and an upstream."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         TCP port for PUT /documents/NAME, POST /fault?NAME=VALUE,
         POST /do/ACTION and GET /calls; 0 picks a free one.
     rate : int
-        Calls a second over all readers; a waiting watch is one.
+        Limit of calls per second over all readers; a waiting watch counts as one.
     documents : str
         Directory that `render` wrote; published again when its files change.
     seed : int
@@ -69,13 +69,13 @@
         TCP port for POST /fault?NAME=VALUE, POST /do/ACTION and GET /runs;
         0 picks a free one.
     target : str
-        Name of the target, told in each answer.
+        Name of the target, sent in each answer.
     slots : int
-        Calls that run at once.
+        Calls that run concurrently.
     queue : int
-        Calls that wait for a slot before the rest is shed.
+        Calls that may wait for a slot; further ones are shed.
     connections : int
-        Connections that are accepted at once.
+        Connections that are accepted concurrently.
     service_ms : float
         Median service time of short calls.
     long_ms : float
--- a/sequoiaspoke/commands/status.py
+++ b/sequoiaspoke/commands/status.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke status`: one table over many nodes."""
+"""`sequoiaspoke status`: one table of many nodes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     "node zone target version since learnt-from state in-flight "
     "queued limit ledger ejected calls refused unknown retried details last-refused"
 ).split()
-MAX_CELL_LENGTH = 80  # characters of one cell
+MAX_CELL_LENGTH = 80  # characters
 
 
 def status(*addresses: str, json: bool = False, timeout: float = 5.0) -> None:
     """Show the state of nodes.
 
-    Ends with status 7 where a node did not answer; the table is printed before.
+    Exits with status 7 if a node did not answer; the table is printed anyway.
 
     :param addresses: admin addresses of the nodes, as IP:PORT
     :param json: print the nodes' whole status pages as JSON
@@ -35,13 +35,13 @@
 
 
 def as_json(nodes: list[NodeStatus]) -> str:
-    """Return the whole pages by address."""
+    """Return the complete status pages by address, as JSON."""
     pages = {node.address: node.page or {"fault": node.fault} for node in nodes}
     return json_library.dumps(pages, indent=2, sort_keys=True)
 
 
 def as_table(nodes: list[NodeStatus], now: float) -> str:
-    """Return one line for each node, columns aligned."""
+    """Return a table with one line for each node."""
     return aligned([HEADINGS, *(_row(node, now) for node in nodes)])
 
 
@@ -92,7 +92,7 @@
 
 
 def _summarize(value: object) -> str:
-    """Return a value in a word, a list by its length, nothing for a group."""
+    """Return a scalar as text, a list as its length, and a group as an empty text."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
--- a/sequoiaspoke/commands/table.py
+++ b/sequoiaspoke/commands/table.py
@@ -1,4 +1,4 @@
-"""Tables that commands print."""
+"""Format the tables that commands print."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def aligned(rows: Iterable[Sequence[str]]) -> str:
-    """Return one line for each row, columns aligned."""
+    """Return one line for each row, with aligned columns."""
     cells = list(rows)
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return "\n".join("  ".join(map(str.ljust, row, widths)).rstrip() for row in cells)
--- a/sequoiaspoke/commands/versionof.py
+++ b/sequoiaspoke/commands/versionof.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke version-of`: wait until nodes enforce a version."""
+"""`sequoiaspoke version-of`: wait until a version is in force at nodes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from sequoiaspoke.commands.nodestatus import NodeStatus
 
-POLL_INTERVAL = 0.2  # seconds between two rounds
+POLL_INTERVAL = 0.2  # seconds between two rounds of requests
 NODE_TIMEOUT = 5.0  # seconds for one node's answer
 
 
 def version_of(*addresses: str, wait: int = 0, timeout: float = 30.0) -> None:
-    """Print the version in force at nodes, or wait for one.
+    """Print the version in force at nodes, or wait for a version.
 
-    Ends with status 0 once all nodes enforce the awaited version or a newer
-    one, and with status 6 where some do not in time.
+    Exits with status 0 once the awaited version or a newer one is in force at all
+    nodes, and with status 6 if that takes longer than the timeout.
 
     :param addresses: admin addresses of the nodes, as IP:PORT
     :param wait: the version to wait for
@@ -44,7 +44,7 @@
 async def follow(
     addresses: tuple[str, ...], wait: int, timeout: float
 ) -> list[NodeStatus]:
-    """Ask until every node enforces the version, at most for the time given."""
+    """Poll the nodes until the version is in force at all of them or time runs out."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
     latest: dict[str, NodeStatus] = {}
@@ -53,8 +53,8 @@
         remaining = max(POLL_INTERVAL, deadline - loop.time())
         for node in await ask_nodes(pending, min(NODE_TIMEOUT, remaining)):
             latest[node.address] = node
-        # A node that enforces the version is not asked again: versions never
-        # decrease, and a fleet of thousands is asked in rounds.
+        # Versions never decrease, so a node that has reached the version is not asked
+        # again. This keeps the rounds short in a fleet of thousands.
         pending = tuple(
             address
             for address in addresses
--- a/sequoiaspoke/tests/test_commands.py
+++ b/sequoiaspoke/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands over declarations, by golden files."""
+"""Tests of the commands that read declarations, with golden files."""
 
 import contextlib
 import io
@@ -33,7 +33,7 @@
 
 
 def run(*words):
-    """Run a command from the root of the tree; return its status and output."""
+    """Run a command from the repository root; return its status and output."""
     out, err = io.StringIO(), io.StringIO()
     previous = os.getcwd()
     os.chdir(ROOT)
@@ -46,7 +46,7 @@
 
 
 class ExampleTests(TestCase):
-    """Both deployments' declarations, as an operator handles them."""
+    """Commands that an operator runs on the example declarations."""
 
     def test_check_and_explain(self):
         for name, requests in REQUESTS.items():
@@ -74,7 +74,7 @@
             self.assertEqual(2, status)
 
     def readable_documents(self, out):
-        """Return the documents' content, one JSON value a line."""
+        """Return the documents' content, one JSON value per line."""
         head = decode_head((out / "head").read_bytes())
         lines = []
         for part, digest in sorted(head.parts.items()):
--- a/sequoiaspoke/tests/test_status.py
+++ b/sequoiaspoke/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that ask nodes for their status."""
+"""Tests of the commands that fetch the status of nodes."""
 
 import asyncio
 import contextlib
@@ -43,13 +43,13 @@
 
 
 class PageSequence:
-    """Serves status pages whose version rises with each question."""
+    """Status pages with one version after another; the last one repeats."""
 
     def __init__(self, versions):
         self.versions = list(versions)
 
     def next_page(self):
-        """Return the page of the next question."""
+        """Return the page for the next request."""
         version = self.versions[0]
         if len(self.versions) > 1:
             self.versions.pop(0)
@@ -66,7 +66,7 @@
 
 @contextlib.contextmanager
 def served(pages):
-    """Serve pages on a free port for as long as the block runs."""
+    """Serve pages on a free port within the block; yield its address."""
     sockets = bind_sockets(0, "127.0.0.1")
     app = Application([("/status", PageHandler, {"pages": pages})])
     server = HTTPServer(app)
@@ -130,7 +130,7 @@
             self.assertEqual([1, 1], [node.version for node in nodes])
             table = as_table(nodes, time.time()).splitlines()
             for line in table[1:]:
-                # Only what there may be none of stays empty.
+                # Only the list of ejected targets may be empty.
                 cells = zip(HEADINGS, line.split(), strict=False)
                 empty = [heading for heading, cell in cells if cell == "-"]
                 self.assertEqual(["ejected"], empty)
