--- a/sequoiaspoke/commands/declarations.py
+++ b/sequoiaspoke/commands/declarations.py
@@ -1,15 +1,15 @@
-"""Reads a declarations directory for the commands that take one."""
+"""Read and check a declarations directory for the commands that take one."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
 from sequoiaspoke.core.rules.parse import Declarations, parse_declarations
-from sequoiaspoke.core.rules.reach import unreachable
+from sequoiaspoke.core.rules.reach import unreachable_rules
 from sequoiaspoke.core.rules.validate import errors_of, validate
 from sequoiaspoke.errors import DeclarationsError, Problem
 
-PATTERN = "*.ini"
+FILE_PATTERN = "*.ini"
 
 
 def read_declarations(directory: str) -> Declarations:
@@ -18,11 +18,11 @@
     Raises
     ------
     DeclarationsError
-        The directory or a file cannot be read, or its text cannot be used.
+        The directory has no such file, or a file cannot be read or parsed.
     """
-    paths = sorted(Path(directory).glob(PATTERN))
+    paths = sorted(Path(directory).glob(FILE_PATTERN))
     if not paths:
-        raise DeclarationsError((Problem(f"no {PATTERN} file found", directory),))
+        raise DeclarationsError((Problem(f"no {FILE_PATTERN} file found", directory),))
     files = {}
     problems = []
     for path in paths:
@@ -38,17 +38,17 @@
 def find_problems(declarations: Declarations) -> tuple[Problem, ...]:
     """Return all errors and warnings, each with its file and line."""
     rules, services = declarations.rules, declarations.services
-    problems = (*validate(rules, services), *unreachable(rules))
+    problems = (*validate(rules, services), *unreachable_rules(rules))
     return tuple(declarations.locate(problem) for problem in problems)
 
 
 def check_declarations(directory: str) -> tuple[Declarations, tuple[Problem, ...]]:
-    """Read a directory and return it with its warnings.
+    """Return the declarations of a directory and their warnings.
 
     Raises
     ------
     DeclarationsError
-        The declarations must not be published; names errors and warnings.
+        The declarations have errors; lists all errors and warnings.
     """
     declarations = read_declarations(directory)
     problems = find_problems(declarations)
--- a/sequoiaspoke/commands/explain.py
+++ b/sequoiaspoke/commands/explain.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke explain`: say which rule a request meets, and why."""
+"""`sequoiaspoke explain`: show which rule matches a request, and why."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from sequoiaspoke.errors import RequestTextError
 
 if TYPE_CHECKING:
-    from sequoiaspoke.core.rules.matcher import Miss
+    from sequoiaspoke.core.rules.matcher import Mismatch
     from sequoiaspoke.core.rules.model import RequestHead, Rule
 
 
 def explain(
     directory: str, method: str, url: str, *, header: list[str] = (), zone: str = ""
 ) -> None:
-    """Say which rule decides a request and why the earlier ones do not.
+    """Show which rule matches a request and why the earlier ones do not.
 
     :param directory: directory with `*.ini` files
     :param method: method of the request
@@ -28,15 +28,15 @@
     :param zone: availability zone that the request comes from
     """
     declarations, _ = check_declarations(directory)
-    request = _request(method, url, header, zone)
+    request = _build_request(method, url, header, zone)
     explanation = compile_rules(declarations.rules).explain(request)
     print(f"request: {request.method} {request.path}")
-    for miss in explanation.misses:
-        print(_describe_miss(miss))
+    for mismatch in explanation.mismatches:
+        print(_describe_mismatch(mismatch))
     print(_describe_rule(explanation.decision.rule))
 
 
-def _request(method: str, url: str, headers: list[str], zone: str) -> RequestHead:
+def _build_request(method: str, url: str, headers: list[str], zone: str) -> RequestHead:
     try:
         parts = urlsplit(url)
     except ValueError as error:
@@ -52,10 +52,13 @@
     return make_request_head(method, target, host, pairs, zone)
 
 
-def _describe_miss(miss: Miss) -> str:
-    found = "nothing" if miss.found is None else repr(miss.found)
-    wanted = describe_condition(miss.condition)
-    return f"{_place(miss.rule)}: rule {miss.rule.name} no: {wanted}; found {found}"
+def _describe_mismatch(mismatch: Mismatch) -> str:
+    found = "nothing" if mismatch.found is None else repr(mismatch.found)
+    wanted = describe_condition(mismatch.condition)
+    return (
+        f"{_location(mismatch.rule)}: rule {mismatch.rule.name} no: {wanted}; "
+        f"found {found}"
+    )
 
 
 def _describe_rule(rule: Rule | None) -> str:
@@ -63,12 +66,12 @@
         return "no rule decides: the request is refused with 404 no-rule"
     policy = rule.policy
     return (
-        f"{_place(rule)}: rule {rule.name} decides: {describe_action(rule.then)}; "
+        f"{_location(rule)}: rule {rule.name} decides: {describe_action(rule.then)}; "
         f"timeout {policy.timeout:g}; attempts {policy.attempts}; "
         f"idempotent {'yes' if policy.idempotent else 'no'}; "
         f"priority {policy.priority.value}; caller {policy.caller_header or 'address'}"
     )
 
 
-def _place(rule: Rule) -> str:
+def _location(rule: Rule) -> str:
     return f"{rule.file}:{rule.line}"
--- a/sequoiaspoke/commands/versionof.py
+++ b/sequoiaspoke/commands/versionof.py
@@ -1,4 +1,4 @@
-"""`sequoiaspoke version-of`: wait until nodes enforce a version."""
+"""`sequoiaspoke version-of`: wait until a version is in force at nodes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from sequoiaspoke.commands.nodestatus import NodeStatus
 
-PAUSE = 0.2  # seconds between two rounds
-QUESTION_TIMEOUT = 5.0  # seconds for one node's answer
+POLL_INTERVAL = 0.2  # seconds between two rounds of requests
+NODE_TIMEOUT = 5.0  # seconds for one node's answer
 
 
 def version_of(*addresses: str, wait: int = 0, timeout: float = 30.0) -> None:
-    """Print the version in force at nodes, or wait for one.
+    """Print the version in force at nodes, or wait for a version.
 
-    Ends with status 0 once all nodes enforce the awaited version or a newer
-    one, and with status 6 where some do not in time.
+    Exits with status 0 once the awaited version or a newer one is in force at all
+    nodes, and with status 6 if that takes longer than the timeout.
 
     :param addresses: admin addresses of the nodes, as IP:PORT
     :param wait: the version to wait for
@@ -35,7 +35,7 @@
     if not behind:
         print(f"awaited={wait} nodes={len(nodes)} seconds={seconds:.1f}")
         return
-    reasons = "; ".join(map(_why_behind, behind))
+    reasons = "; ".join(map(_describe_behind, behind))
     if wait:
         raise NotConvergedError(f"version {wait} is not in force at {reasons}")
     raise NodeUnreachableError(reasons)
@@ -44,28 +44,28 @@
 async def follow(
     addresses: tuple[str, ...], wait: int, timeout: float
 ) -> list[NodeStatus]:
-    """Ask until every node enforces the version, at most for the time given."""
+    """Poll the nodes until the version is in force at all of them or time runs out."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
-    newest: dict[str, NodeStatus] = {}
-    waiting = addresses
+    latest: dict[str, NodeStatus] = {}
+    pending = addresses
     while True:
-        left = max(PAUSE, deadline - loop.time())
-        for node in await ask_nodes(waiting, min(QUESTION_TIMEOUT, left)):
-            newest[node.address] = node
-        # A node that enforces the version is not asked again: versions never
-        # decrease, and a fleet of thousands is asked in rounds.
-        waiting = tuple(
+        remaining = max(POLL_INTERVAL, deadline - loop.time())
+        for node in await ask_nodes(pending, min(NODE_TIMEOUT, remaining)):
+            latest[node.address] = node
+        # Versions never decrease, so a node that has reached the version is not asked
+        # again. This keeps the rounds short in a fleet of thousands.
+        pending = tuple(
             address
             for address in addresses
-            if newest[address].fault or newest[address].version < wait
+            if latest[address].fault or latest[address].version < wait
         )
-        if not waiting or not wait or loop.time() + PAUSE > deadline:
-            return [newest[address] for address in addresses]
-        await asyncio.sleep(PAUSE)
+        if not pending or not wait or loop.time() + POLL_INTERVAL > deadline:
+            return [latest[address] for address in addresses]
+        await asyncio.sleep(POLL_INTERVAL)
 
 
-def _why_behind(node: NodeStatus) -> str:
+def _describe_behind(node: NodeStatus) -> str:
     if node.fault:
         return f"{node.address} (no answer: {node.fault})"
     refused = node.page.get("last_refused_version")
--- a/sequoiaspoke/core/rules/compare.py
+++ b/sequoiaspoke/core/rules/compare.py
@@ -1,4 +1,8 @@
-"""What a condition means: the one place that compares it with a request."""
+"""Compare conditions with requests.
+
+The matcher and the check for unreachable rules both use these functions, so they agree
+on what a condition means.
+"""
 
 from __future__ import annotations
 
@@ -12,16 +16,16 @@
 WILDCARD = "*"
 
 
-def holds(condition: Condition, request: RequestHead) -> bool:
-    """Tell whether a request meets a condition."""
-    value = value_of(condition, request)
+def matches(condition: Condition, request: RequestHead) -> bool:
+    """Return whether a request satisfies a condition."""
+    value = request_value(condition, request)
     if value is None:
         return False
-    return accepts(condition, value)
+    return matches_value(condition, value)
 
 
-def value_of(condition: Condition, request: RequestHead) -> str | None:
-    """Return the part of the request that a condition looks at."""
+def request_value(condition: Condition, request: RequestHead) -> str | None:
+    """Return the value that a condition is compared with, or None if it is absent."""
     if condition.field is Field.HEADER:
         return request.headers.get(condition.name)
     if condition.field is Field.QUERY:
@@ -35,66 +39,66 @@
     return request.path
 
 
-def accepts(condition: Condition, value: str) -> bool:
-    """Tell whether a value satisfies a condition's comparison."""
+def matches_value(condition: Condition, value: str) -> bool:
+    """Return whether a value satisfies a condition's comparison."""
     if condition.comparison is Comparison.PRESENT:
         return True
     if condition.comparison is Comparison.EXACT:
         return value in condition.values
     if condition.comparison is Comparison.SEGMENTS:
-        return any(fits_pattern(value, pattern) for pattern in condition.values)
+        return any(matches_pattern(value, pattern) for pattern in condition.values)
     if condition.field is Field.PATH:
-        return any(is_under(value, prefix) for prefix in condition.values)
+        return any(has_path_prefix(value, prefix) for prefix in condition.values)
     return value.startswith(condition.values)
 
 
 def host_name(host: str) -> str:
-    """Return a host in lower case and without its port."""
+    """Return the host name in lower case, without the port."""
     name, colon, port = host.rpartition(":")
     if colon and (port.isdigit() or not port):
         host = name
     return host.lower()
 
 
-def is_under(path: str, prefix: str) -> bool:
-    """Tell whether a path is the prefix itself or lies below it.
+def has_path_prefix(path: str, prefix: str) -> bool:
+    """Return whether a path equals a prefix or is below it.
 
-    Prefixes end on a segment's boundary, and a trailing slash of the prefix
-    does not count: `/billing` and `/billing/` both hold for `/billing` and
-    `/billing/7`, neither for `/billings`.
+    A prefix matches whole segments only, and its trailing slash is ignored:
+    `/billing` and `/billing/` both match `/billing` and `/billing/7`, but not
+    `/billings`.
     """
-    stem = stem_of(prefix)
+    stem = strip_trailing_slash(prefix)
     if not stem:
         return True
     return path.startswith(stem) and path[len(stem) : len(stem) + 1] in ("", "/")
 
 
-def stem_of(prefix: str) -> str:
+def strip_trailing_slash(prefix: str) -> str:
     """Return a path prefix without its trailing slash."""
     return prefix[:-1] if prefix.endswith("/") else prefix
 
 
-def fits_pattern(path: str, pattern: str) -> bool:
-    """Tell whether a path has the segments of a pattern.
+def matches_pattern(path: str, pattern: str) -> bool:
+    """Return whether a path matches a pattern segment by segment.
 
-    `*` and `{name}` stand for one segment that is not empty.
+    `*` and `{name}` match exactly one non-empty segment.
     """
-    segments, wanted = path.split("/"), pattern.split("/")
-    if len(segments) != len(wanted):
+    segments, expected_segments = path.split("/"), pattern.split("/")
+    if len(segments) != len(expected_segments):
         return False
     return all(
-        (segment != "" if is_wildcard(want) else segment == want)
-        for segment, want in zip(segments, wanted, strict=True)
+        (segment != "" if is_wildcard(expected) else segment == expected)
+        for segment, expected in zip(segments, expected_segments, strict=True)
     )
 
 
 def is_wildcard(segment: str) -> bool:
-    """Tell whether a pattern's segment stands for any segment."""
+    """Return whether a segment of a pattern is a wildcard."""
     return segment == WILDCARD or (segment.startswith("{") and segment.endswith("}"))
 
 
-def literal_stem(pattern: str) -> str:
-    """Return the part of a pattern before its first wildcard, as a prefix."""
+def literal_prefix(pattern: str) -> str:
+    """Return the segments of a pattern before its first wildcard, as a path prefix."""
     literal = []
     for segment in pattern.split("/"):
         if is_wildcard(segment):
--- a/sequoiaspoke/core/rules/grammar.py
+++ b/sequoiaspoke/core/rules/grammar.py
@@ -1,4 +1,6 @@
-"""The text of conditions and actions, to and from their data.
+"""Parse and format the text of conditions and actions.
+
+Example:
 
 when = method POST; path prefix /billing/; header x-channel = app, "a, b"
 then = route billing 90, billing-new 10 sticky x-member
@@ -22,7 +24,7 @@
 from sequoiaspoke.errors import DeclarationsError, Problem
 
 NUMBER = re.compile(r"[0-9]{1,9}")
-NAMED = re.compile(
+NAMED_CONDITION = re.compile(
     r"(?P<name>[^\s=\"]+)\s*(?:(?P<exact>=)|\s(?P<word>prefix|present)(?=\s|$))"
     r"\s*(?P<values>.*)",
     re.DOTALL,
@@ -33,40 +35,42 @@
     each.value: each
     for each in (Comparison.EXACT, Comparison.PREFIX, Comparison.SEGMENTS)
 }
-SPECIAL = re.compile(r"[\s,;=\"]")
+NEEDS_QUOTES = re.compile(r"[\s,;=\"]")
 
 
 def parse_conditions(text: str) -> tuple[Condition, ...]:
-    """Read the conditions of a `when`, separated by semicolons or lines.
+    """Parse the conditions of a `when`, separated by semicolons or line breaks.
 
     Raises
     ------
     DeclarationsError
-        The text is no list of conditions.
+        The text is not a list of conditions.
     """
     parts = (part.strip() for part in split_unquoted(text, ";\n"))
     return tuple(parse_condition(part) for part in parts if part)
 
 
 def parse_condition(text: str) -> Condition:
-    """Read one condition; see `parse_conditions`."""
+    """Parse one condition; raises as `parse_conditions` does."""
     field, _, rest = text.partition(" ")
     rest = rest.strip()
     if field in LISTED_FIELDS:
-        return _listed(LISTED_FIELDS[field], rest, text)
+        return _parse_listed(LISTED_FIELDS[field], rest, text)
     if field in NAMED_FIELDS:
-        return _named(NAMED_FIELDS[field], rest, text)
+        return _parse_named(NAMED_FIELDS[field], rest, text)
     if field == "path":
         word, _, values = rest.partition(" ")
         if word not in PATH_COMPARISONS:
             fail(f"found {text!r}; allowed: path exact, path prefix or path segments")
-        return Condition(Field.PATH, PATH_COMPARISONS[word], _values(values, text))
+        return Condition(
+            Field.PATH, PATH_COMPARISONS[word], _parse_values(values, text)
+        )
     allowed = ", ".join(("path", *LISTED_FIELDS, *NAMED_FIELDS))
     fail(f"found {text!r}; allowed: a condition that begins with one of {allowed}")
 
 
-def _listed(field: Field, rest: str, text: str) -> Condition:
-    values = _values(rest.removeprefix("=").strip(), text)
+def _parse_listed(field: Field, rest: str, text: str) -> Condition:
+    values = _parse_values(rest.removeprefix("=").strip(), text)
     if field is Field.METHOD:
         values = tuple(value.upper() for value in values)
     if field is Field.HOST:
@@ -74,8 +78,8 @@
     return Condition(field, Comparison.EXACT, values)
 
 
-def _named(field: Field, rest: str, text: str) -> Condition:
-    match = NAMED.fullmatch(rest)
+def _parse_named(field: Field, rest: str, text: str) -> Condition:
+    match = NAMED_CONDITION.fullmatch(rest)
     if match is None:
         kind = field.value
         fail(f"found {text!r}; allowed: {kind} NAME = VALUES, prefix VALUES or present")
@@ -85,10 +89,10 @@
             fail(f"found {text!r}; allowed: nothing after present")
         return Condition(field, Comparison.PRESENT, (), name)
     comparison = Comparison.EXACT if match["exact"] else Comparison.PREFIX
-    return Condition(field, comparison, _values(match["values"], text), name)
+    return Condition(field, comparison, _parse_values(match["values"], text), name)
 
 
-def _values(rest: str, text: str) -> tuple[str, ...]:
+def _parse_values(rest: str, text: str) -> tuple[str, ...]:
     values = tuple(unquote(part) for part in split_unquoted(rest, ","))
     if not rest.strip():
         fail(f"found {text!r}; allowed: one or more values, separated by commas")
@@ -96,16 +100,16 @@
 
 
 def parse_action(text: str) -> Action:
-    """Read the action of a `then`.
+    """Parse the action of a `then`.
 
     Raises
     ------
     DeclarationsError
-        The text is no action.
+        The text is not an action.
     """
     word, _, rest = " ".join(text.split()).partition(" ")
     if word == "route" and rest:
-        return _route(rest)
+        return _parse_route(rest)
     words = rest.split(" ") if rest else []
     if word == "redirect" and len(words) == 1:
         return Redirect(words[0])
@@ -121,7 +125,7 @@
     )
 
 
-def _route(rest: str) -> RouteTo:
+def _parse_route(rest: str) -> RouteTo:
     services, sticky, header = rest.partition(" sticky ")
     split = []
     for part in services.split(","):
@@ -135,15 +139,15 @@
     return RouteTo(tuple(split), header.strip().lower())
 
 
-def whole_number(text: str, what: str) -> int:
-    """Read a whole number; see `parse_action`."""
+def whole_number(text: str, quantity: str) -> int:
+    """Parse a non-negative integer; `quantity` names it in the error message."""
     if not NUMBER.fullmatch(text):
-        fail(f"found {text!r}; allowed: a whole number as {what}")
+        fail(f"found {text!r}; allowed: a whole number as {quantity}")
     return int(text)
 
 
 def split_unquoted(text: str, separators: str) -> list[str]:
-    """Split at separators that stand outside double quotes."""
+    """Split text at the separators that are outside double quotes."""
     parts = [""]
     quoted = False
     for char in text:
@@ -159,7 +163,7 @@
 
 
 def unquote(text: str) -> str:
-    """Take the double quotes off a value."""
+    """Return a value without surrounding space and double quotes."""
     text = text.strip()
     if '"' not in text:
         return text
@@ -170,14 +174,14 @@
 
 
 def fail(message: str) -> NoReturn:
-    """Report text that cannot be read."""
+    """Raise an error about text that cannot be parsed."""
     raise DeclarationsError((Problem(message),))
 
 
 def describe_condition(condition: Condition) -> str:
-    """Write a condition as `parse_condition` reads it."""
+    """Format a condition so that `parse_condition` can parse it."""
     field, comparison = condition.field, condition.comparison
-    values = ", ".join(_quoted(value) for value in condition.values)
+    values = ", ".join(_quote(value) for value in condition.values)
     if field is Field.PATH:
         return f"path {comparison.value} {values}"
     if field not in NAMED_FIELDS.values():
@@ -188,23 +192,23 @@
 
 
 def describe_conditions(conditions: tuple[Condition, ...]) -> str:
-    """Write conditions as `parse_conditions` reads them."""
+    """Format conditions as the value of a `when`."""
     return "; ".join(describe_condition(each) for each in conditions) or "always"
 
 
 def describe_action(action: Action) -> str:
-    """Write an action as `parse_action` reads it."""
+    """Format an action so that `parse_action` can parse it."""
     if isinstance(action, Redirect):
         return f"redirect {action.status} {action.location}"
     if isinstance(action, Refuse):
         return f"refuse {action.status} {action.reason}"
     split = ", ".join(f"{each.service} {each.weight}" for each in action.split)
-    return f"route {split}" + _sticky(action)
+    return f"route {split}" + _describe_sticky(action)
 
 
-def _sticky(action: RouteTo) -> str:
+def _describe_sticky(action: RouteTo) -> str:
     return f" sticky {action.sticky_header}" if action.sticky_header else ""
 
 
-def _quoted(value: str) -> str:
-    return f'"{value}"' if not value or SPECIAL.search(value) else value
+def _quote(value: str) -> str:
+    return f'"{value}"' if not value or NEEDS_QUOTES.search(value) else value
--- a/sequoiaspoke/core/rules/parse.py
+++ b/sequoiaspoke/core/rules/parse.py
@@ -1,8 +1,9 @@
-"""Declarations: INI files with rules and services, read in the order of names.
+"""Parse declarations: INI files with rules and services.
 
-`[rule NAME]` sections keep their order over all files, and the first rule that
-a request meets decides. `[service NAME]` sections list endpoints, one a line.
-One `[defaults]` section may set the policy of rules that do not say their own.
+Files are read in the order of their names. `[rule NAME]` sections keep their order
+across all files, and the first rule that matches a request applies. `[service NAME]`
+sections list endpoints, one per line. One `[defaults]` section may set the policy
+values that a rule leaves out.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
     from sequoiaspoke.ini import IniSection, IniValue
 
-DEFAULTS = "defaults"
+DEFAULTS_SECTION = "defaults"
 ALWAYS = "always"
 TARGET = "target"
 YES_NO = {"yes": True, "no": False}
@@ -42,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class Place:
-    """A file and a line of the declarations."""
+class Location:
+    """A file and a line in the declarations."""
 
     file: str
     line: int
@@ -51,58 +52,58 @@
 
 @dataclass(frozen=True)
 class Declarations:
-    """What the files declare, and where each section and key stands.
+    """The parsed declarations and the location of each section and key.
 
     Attributes
     ----------
     places : dict
-        The place of each (section, key); the key is empty for a section.
+        Location of each (section, key); the key is empty for the section itself.
     """
 
     rules: tuple[Rule, ...] = ()
     services: tuple[Service, ...] = ()
-    places: dict[tuple[str, str], Place] = field(default_factory=dict)
+    locations: dict[tuple[str, str], Location] = field(default_factory=dict)
 
     def locate(self, problem: Problem) -> Problem:
-        """Add the file and the line of the key that a problem is about."""
-        place = self.places.get((problem.section, problem.key))
-        place = place or self.places.get((problem.section, ""))
-        if place is None:
+        """Return the problem with the file and line of its key or section."""
+        location = self.locations.get((problem.section, problem.key))
+        location = location or self.locations.get((problem.section, ""))
+        if location is None:
             return problem
-        return dataclasses.replace(problem, file=place.file, line=place.line)
+        return dataclasses.replace(problem, file=location.file, line=location.line)
 
 
 def parse_declarations(files: Mapping[str, str]) -> Declarations:
-    """Read the text of declaration files, given by their names.
+    """Parse declaration files, given as a mapping from file name to text.
 
     Raises
     ------
     DeclarationsError
-        Some text cannot be read; names every problem with file and line.
+        Some text cannot be parsed; lists every problem with its file and line.
     """
-    reader = Reader()
+    parser = DeclarationsParser()
     for name in sorted(files):
-        reader.read(name, files[name])
-    return reader.declarations()
+        parser.read(name, files[name])
+    return parser.build()
 
 
-class Reader:
+class DeclarationsParser:
     """Collects sections and problems file by file."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
         self.sections: list[IniSection] = []
-        self.places: dict[tuple[str, str], Place] = {}
+        self.locations: dict[tuple[str, str], Location] = {}
         self.defaults = CallPolicy()
         self.has_defaults = False
 
     def read(self, file: str, text: str) -> None:
-        """Read one file."""
+        """Parse the sections of one file."""
         ini = parse_ini(text, file)
         self.problems.extend(ini.problems)
         for section in ini.sections:
-            self.note_places(section)
-            if section.name == DEFAULTS:
+            self.record_locations(section)
+            if section.name == DEFAULTS_SECTION:
                 self.read_defaults(section)
                 continue
             kind, _, name = section.name.partition(" ")
@@ -114,25 +115,27 @@
                 self.report(f"bad name; allowed: {NAME_ALLOWED}", section)
             self.sections.append(section)
 
-    def note_places(self, section: IniSection) -> None:
-        """Remember where a section and its keys stand."""
-        self.places.setdefault((section.name, ""), Place(section.file, section.line))
+    def record_locations(self, section: IniSection) -> None:
+        """Record the location of a section and of its keys."""
+        self.locations.setdefault(
+            (section.name, ""), Location(section.file, section.line)
+        )
         for key, value in section.values.items():
-            place = Place(section.file, value.line)
-            self.places.setdefault((section.name, key), place)
+            location = Location(section.file, value.line)
+            self.locations.setdefault((section.name, key), location)
 
-    def check_names_once(self) -> None:
+    def drop_duplicates(self) -> None:
         """Keep the first section of each name and report the others."""
         seen: dict[str, IniSection] = {}
         for section in self.sections:
             first = seen.setdefault(section.name, section)
             if first is not section:
-                place = f"{first.file}:{first.line}"
-                self.report(f"duplicate name; the first is in {place}", section)
+                location = f"{first.file}:{first.line}"
+                self.report(f"duplicate name; the first is in {location}", section)
         self.sections = list(seen.values())
 
     def read_defaults(self, section: IniSection) -> None:
-        """Read the policy of rules that do not say their own."""
+        """Parse the default policy of rules."""
         if self.has_defaults:
             self.report("duplicate section; one [defaults] is allowed", section)
         self.has_defaults = True
@@ -140,15 +143,15 @@
         self.defaults = self.read_policy(section, values)
         self.report_unknown(section, values, POLICY_KEYS)
 
-    def declarations(self) -> Declarations:
-        """Turn the sections into rules and services.
+    def build(self) -> Declarations:
+        """Build the rules and services from the collected sections.
 
         Raises
         ------
         DeclarationsError
-            Some section cannot be read.
+            Some section cannot be parsed.
         """
-        self.check_names_once()
+        self.drop_duplicates()
         rules, services = [], []
         for section in self.sections:
             kind, _, name = section.name.partition(" ")
@@ -158,13 +161,13 @@
                 services.append(self.read_service(section, name.strip()))
         if self.problems:
             raise DeclarationsError(tuple(self.problems))
-        return Declarations(tuple(rules), tuple(services), self.places)
+        return Declarations(tuple(rules), tuple(services), self.locations)
 
     def read_rule(self, section: IniSection, name: str) -> Any:
-        """Read one rule."""
+        """Parse one rule."""
         values = dict(section.values)
-        when = self.take(section, values, "when", _parse_when)
-        then = self.take(section, values, "then", parse_action)
+        when = self.pop_value(section, values, "when", _parse_when)
+        then = self.pop_value(section, values, "then", parse_action)
         policy = self.read_policy(section, values)
         self.report_unknown(section, values, ("when", "then", *POLICY_KEYS))
         return Rule(name, when, then, policy, section.file, section.line)
@@ -172,19 +175,19 @@
     def read_policy(
         self, section: IniSection, values: dict[str, IniValue]
     ) -> CallPolicy:
-        """Read the policy keys of a section."""
+        """Parse the policy keys of a section."""
         given = {
-            attribute: self.take(section, values, key, parse)
+            attribute: self.pop_value(section, values, key, parse)
             for key, (attribute, parse) in POLICY_KEYS.items()
             if key in values
         }
         return dataclasses.replace(self.defaults, **given)
 
     def read_service(self, section: IniSection, name: str) -> Service:
-        """Read one service and its endpoints."""
+        """Parse one service and its endpoints."""
         values = dict(section.values)
         common = {
-            key: self.take(section, values, key, _parse_count)
+            key: self.pop_value(section, values, key, _parse_count)
             for key in ENDPOINT_NUMBERS
             if key in values
         }
@@ -192,7 +195,7 @@
         for key in section.values:
             kind, _, target = key.partition(" ")
             if kind == TARGET and target.strip():
-                text = self.take(section, values, key, _parse_pairs)
+                text = self.pop_value(section, values, key, _parse_pairs)
                 if text is not None:
                     endpoint = self.read_endpoint(section, key, {**common, **text})
                     endpoints.append(endpoint)
@@ -203,7 +206,7 @@
     def read_endpoint(
         self, section: IniSection, key: str, given: dict[str, Any]
     ) -> Any:
-        """Read the line of one endpoint."""
+        """Build one endpoint from its parsed line; None if a key is missing."""
         target = key.partition(" ")[2].strip()
         missing = [each for each in (*ENDPOINT_TEXTS, "mesh_port") if each not in given]
         if missing:
@@ -211,14 +214,14 @@
             return None
         return Endpoint(target=target, **given)
 
-    def take(
+    def pop_value(
         self,
         section: IniSection,
         values: dict[str, IniValue],
         key: str,
         parse: Callable[[str], Any],
     ) -> Any:
-        """Remove a key and parse it; None where it is missing or wrong."""
+        """Remove a key and parse its value; None if it is missing or invalid."""
         value = values.pop(key, None)
         if value is None:
             self.report("missing", section, key)
@@ -231,14 +234,14 @@
         return None
 
     def report_unknown(
-        self, section: IniSection, left: dict[str, IniValue], known: Any
+        self, section: IniSection, unread: dict[str, IniValue], allowed: Any
     ) -> None:
-        """Report the keys that nobody asked for."""
-        for key in left:
-            self.report(f"unknown key; allowed: {', '.join(known)}", section, key)
+        """Report the keys of a section that were not read."""
+        for key in unread:
+            self.report(f"unknown key; allowed: {', '.join(allowed)}", section, key)
 
     def report(self, message: str, section: IniSection, key: str = "") -> None:
-        """Add a problem with its place."""
+        """Record a problem with its location."""
         value = section.values.get(key)
         line = value.line if value else section.line
         self.problems.append(Problem(message, section.file, line, section.name, key))
--- a/sequoiaspoke/core/rules/reach.py
+++ b/sequoiaspoke/core/rules/reach.py
@@ -1,8 +1,8 @@
-"""Rules that no request can reach, because an earlier rule takes them all.
+"""Find rules that no request can reach because an earlier rule matches first.
 
-Only `check` asks this: it compares every rule with every earlier one, and a
-node must not spend that time between two calls. Nothing unsafe follows from an
-unreachable rule, so it is a warning.
+Every rule is compared with every earlier one, which takes too long for a node that
+serves calls; only `check` does it. An unreachable rule is harmless, so it is reported
+as a warning.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.rules.compare import (
-    accepts,
-    is_under,
+    has_path_prefix,
     is_wildcard,
-    literal_stem,
+    literal_prefix,
+    matches_value,
 )
 from sequoiaspoke.core.rules.model import Comparison, Field
 from sequoiaspoke.errors import Problem
@@ -24,8 +24,8 @@
     from sequoiaspoke.core.rules.model import Condition, Rule
 
 
-def unreachable(rules: tuple[Rule, ...]) -> tuple[Problem, ...]:
-    """Return a warning for each rule that an earlier one covers."""
+def unreachable_rules(rules: tuple[Rule, ...]) -> tuple[Problem, ...]:
+    """Return a warning for each rule that a single earlier rule covers."""
     return tuple(_warnings(rules))
 
 
@@ -44,14 +44,17 @@
 
 
 def covers(earlier: Rule, later: Rule) -> bool:
-    """Tell whether each request that meets the later rule meets the earlier."""
+    """Return whether every request that matches the later rule matches the earlier.
+
+    Only pairs of conditions are compared, so some covered rules are not found.
+    """
     return all(
         any(implies(given, wanted) for given in later.when) for wanted in earlier.when
     )
 
 
 def implies(given: Condition, wanted: Condition) -> bool:
-    """Tell whether whatever meets the one condition meets the other."""
+    """Return whether every request that satisfies `given` also satisfies `wanted`."""
     if (given.field, given.name) != (wanted.field, wanted.name):
         return False
     if wanted.comparison is Comparison.PRESENT:
@@ -63,19 +66,19 @@
 
 def _value_implies(given: Condition, value: str, wanted: Condition) -> bool:
     if given.comparison is Comparison.EXACT:
-        return accepts(wanted, value)
+        return matches_value(wanted, value)
     if given.comparison is Comparison.SEGMENTS:
         return any(_pattern_implies(value, wanted, each) for each in wanted.values)
     if wanted.comparison is not Comparison.PREFIX:
         return False
     if given.field is Field.PATH:
-        return any(is_under(value.rstrip("/"), each) for each in wanted.values)
+        return any(has_path_prefix(value.rstrip("/"), each) for each in wanted.values)
     return value.startswith(wanted.values)
 
 
 def _pattern_implies(pattern: str, wanted: Condition, value: str) -> bool:
     if wanted.comparison is Comparison.PREFIX:
-        return is_under(literal_stem(pattern), value)
+        return has_path_prefix(literal_prefix(pattern), value)
     if wanted.comparison is not Comparison.SEGMENTS:
         return pattern == value and not any(map(is_wildcard, pattern.split("/")))
     segments, others = pattern.split("/"), value.split("/")
--- a/sequoiaspoke/core/snapshot/holder.py
+++ b/sequoiaspoke/core/snapshot/holder.py
@@ -1,11 +1,16 @@
-"""The version in force and what it takes to replace it."""
+"""Hold the version in force and gather the parts of newer versions."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sequoiaspoke.core.snapshot.gate import Known, Verdict, VersionGate, known
+from sequoiaspoke.core.snapshot.gate import (
+    DigestedHead,
+    Verdict,
+    VersionGate,
+    digest_head,
+)
 from sequoiaspoke.core.snapshot.install import build_snapshot
 from sequoiaspoke.core.snapshot.store import PartStore
 from sequoiaspoke.errors import DocumentError, VersionRefusedError
@@ -18,14 +23,14 @@
 
 @dataclass(frozen=True)
 class HeadDecision:
-    """What became of an offered head.
+    """Result of offering a head.
 
     Attributes
     ----------
     missing : tuple of str
-        Digests of the parts to fetch before it can be installed.
+        Digests of the parts to fetch before the head can be installed.
     installed : Snapshot or None
-        Set where every part was held already.
+        The new snapshot if all parts were available already.
     """
 
     verdict: Verdict
@@ -35,15 +40,15 @@
 
 @dataclass(frozen=True)
 class PartDecision:
-    """What became of an offered part; `taken` is False for corrupt bytes."""
+    """Result of offering a part; `accepted` is False for corrupt bytes."""
 
-    taken: bool
+    accepted: bool
     installed: Snapshot | None = None
 
 
 @dataclass(frozen=True)
 class RefusedVersion:
-    """A version that failed validation, for the operators' pages."""
+    """A version that failed validation, as the status page shows it."""
 
     version: int
     source: str
@@ -52,9 +57,9 @@
 
 
 class SnapshotHolder:
-    """Gathers the parts of newer versions and installs them whole or not at all.
+    """Gathers the parts of newer versions and installs each version atomically.
 
-    Callers read `current` once for each call and keep the reference until the
+    Code that handles a call reads `current` once and keeps that reference until the
     call ends.
     """
 
@@ -62,10 +67,10 @@
         self.gate = VersionGate()
         self.store = PartStore()
         self.current: Snapshot | None = None
-        self.previous: Known | None = None
+        self.previous: DigestedHead | None = None
         self.last_refused: RefusedVersion | None = None
         self.installed_at = 0.0
-        self.hold = False
+        self.installs_paused = False
         self.sources: dict[int, str] = {}
 
     @property
@@ -75,12 +80,12 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, or 0."""
+        """Return the version in force, or 0 if there is none."""
         return self.gate.version()
 
     def offer_head(self, head: Head, source: str, now: float) -> HeadDecision:
-        """Take a head that the platform or a peer told of."""
-        offered = known(head)
+        """Process a head from the platform or from a peer."""
+        offered = digest_head(head)
         verdict = self.gate.offer(offered)
         if verdict is Verdict.NEW:
             self.sources[head.version] = source
@@ -95,7 +100,7 @@
         return HeadDecision(verdict, self.store.missing(head), installed)
 
     def offer_part(self, digest: str, packed: bytes, now: float) -> PartDecision:
-        """Take a part; installs the newest candidate that it makes whole."""
+        """Process a part; install the newest candidate that it completes."""
         if digest in self.store:
             self.counters["part-again"] += 1
             return PartDecision(True)
@@ -110,26 +115,26 @@
         return PartDecision(True, self.try_install(now))
 
     def missing(self) -> tuple[str, ...]:
-        """Return the digests to fetch, those of the newest candidate first."""
+        """Return the digests of the parts to fetch, newest candidate first."""
         digests: dict[str, None] = {}
         for candidate in self.gate.newest_candidates():
             digests.update(dict.fromkeys(self.store.missing(candidate.head)))
         return tuple(digests)
 
     def try_install(self, now: float) -> Snapshot | None:
-        """Install the newest whole candidate unless installs are on hold."""
-        if self.hold:
+        """Install the newest complete candidate unless installs are paused."""
+        if self.installs_paused:
             return None
         for candidate in self.gate.newest_candidates():
             if self.store.missing(candidate.head):
                 continue
-            snapshot = self.build(candidate, now)
+            snapshot = self.build_and_install(candidate, now)
             if snapshot:
                 return snapshot
         return None
 
-    def build(self, candidate: Known, now: float) -> Snapshot | None:
-        """Put a whole candidate in force, or remember why it is refused."""
+    def build_and_install(self, candidate: DigestedHead, now: float) -> Snapshot | None:
+        """Install a complete candidate, or record why it is refused."""
         source = self.sources.get(candidate.version, "")
         try:
             snapshot = build_snapshot(candidate.head, self.store, self.current)
@@ -145,19 +150,19 @@
         self.current = snapshot
         self.installed_at = now
         self.counters["version-installed"] += 1
-        self.trim()
+        self.drop_unused_parts()
         return snapshot
 
-    def held(self, root: str) -> Known | None:
-        """Return the version in force, before it or refused that has a digest."""
-        for one in (self.gate.current, self.previous, *self.gate.refused.values()):
-            if one and one.root == root:
-                return one
+    def find_by_root(self, root: str) -> DigestedHead | None:
+        """Return the current, previous or refused head that has a digest, or None."""
+        for each in (self.gate.current, self.previous, *self.gate.refused.values()):
+            if each and each.root == root:
+                return each
         return None
 
-    def trim(self) -> None:
-        """Drop parts that no version in use needs."""
-        held = [*self.gate.candidates.values(), *self.gate.refused.values()]
-        heads = [one.head for one in held if one.version > self.version]
-        heads += [one.head for one in (self.gate.current, self.previous) if one]
+    def drop_unused_parts(self) -> None:
+        """Drop the parts that no known version needs any more."""
+        kept = [*self.gate.candidates.values(), *self.gate.refused.values()]
+        heads = [each.head for each in kept if each.version > self.version]
+        heads += [each.head for each in (self.gate.current, self.previous) if each]
         self.store.keep_only(heads)
