--- a/sequoiaspoke/commands/standin.py
+++ b/sequoiaspoke/commands/standin.py
@@ -25,7 +25,7 @@
     Parameters
     ----------
     address : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
         TCP port of readers; 0 picks a free one.
     control_port : int
@@ -62,7 +62,7 @@
     Parameters
     ----------
     address : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
         TCP port of calls; 0 picks a free one.
     control_port : int
--- a/sequoiaspoke/commands/versionof.py
+++ b/sequoiaspoke/commands/versionof.py
@@ -24,7 +24,7 @@
 
     :param addresses: admin addresses of the nodes, as IP:PORT
     :param wait: the version to wait for
-    :param timeout: seconds to wait in all
+    :param timeout: seconds to wait in total
     """
     started = time.monotonic()
     nodes = asyncio.run(follow(addresses, wait, timeout))
