--- a/sequoiaspoke/core/admission/queue.py
+++ b/sequoiaspoke/core/admission/queue.py
@@ -36,7 +36,7 @@
 
 PRIORITY_WEIGHTS = {Priority.URGENT: 8, Priority.ORDINARY: 4, Priority.PATIENT: 1}
 
-# Longest time until a refusal reaches the entry: the queue is checked every 20 ms.
+# Covers the 20 ms between checks of the queue and the way back to the entry.
 REFUSAL_DELIVERY_SECONDS = 0.03
 
 Refusal = tuple["Arrival", RefusalReason]
--- a/sequoiaspoke/core/admission/shares.py
+++ b/sequoiaspoke/core/admission/shares.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.admission.model import Arrival
 
-MAX_REMEMBERED = 1024  # callers or keys
+MAX_REMEMBERED = 1024  # callers or keys ahead of the current virtual time
 
 
 class VirtualTimes:
