--- a/sequoiaspoke/core/idempotency/assignment.py
+++ b/sequoiaspoke/core/idempotency/assignment.py
@@ -86,25 +86,27 @@
 def may_overlap(one: tuple[Condition, ...], other: tuple[Condition, ...]) -> bool:
     """Return whether some request can meet both; true where it is not sure."""
     return not any(
-        _exclude(mine, theirs)
+        _are_disjoint(mine, theirs)
         for mine in one
         for theirs in other
         if mine.field is theirs.field and mine.field in (Field.METHOD, Field.PATH)
     )
 
 
-def _exclude(one: Condition, other: Condition) -> bool:
+def _are_disjoint(one: Condition, other: Condition) -> bool:
     compared = (one.comparison, other.comparison)
     if any(each not in (Comparison.EXACT, Comparison.PREFIX) for each in compared):
         return False
     return not any(
-        _meet(mine, one.comparison, theirs, other.comparison)
+        _values_overlap(mine, one.comparison, theirs, other.comparison)
         for mine in one.values
         for theirs in other.values
     )
 
 
-def _meet(one: str, how: Comparison, other: str, other_how: Comparison) -> bool:
+def _values_overlap(
+    one: str, how: Comparison, other: str, other_how: Comparison
+) -> bool:
     if how is Comparison.PREFIX and other.startswith(one):
         return True
     if other_how is Comparison.PREFIX and one.startswith(other):
@@ -116,9 +118,9 @@
     """Choose a service of a split, the same one for each repeat of a key."""
     digest = blake2b(text.encode(), digest_size=8).digest()
     total = sum(each.weight for each in split)
-    left = int.from_bytes(digest, "big") / HASH_RANGE * total
+    remaining = int.from_bytes(digest, "big") / HASH_RANGE * total
     for each in split:
-        left -= each.weight
-        if left < 0:
+        remaining -= each.weight
+        if remaining < 0:
             return each.service
     return split[-1].service
--- a/sequoiaspoke/core/idempotency/entry.py
+++ b/sequoiaspoke/core/idempotency/entry.py
@@ -23,7 +23,7 @@
     settled: bool = False
 
 
-def tell_caller(results: tuple[AttemptResult, ...], first: bool) -> Ran:
+def outcome_for_caller(results: tuple[AttemptResult, ...], first: bool) -> Ran:
     """Say whether any call with this key ran.
 
     An attempt that was not run does not prove that an earlier one was not: it may
--- a/sequoiaspoke/core/idempotency/home.py
+++ b/sequoiaspoke/core/idempotency/home.py
@@ -13,10 +13,10 @@
 
 from sequoiaspoke.core.idempotency.calls import Join, Proceed, Refuse, Replay, Run
 from sequoiaspoke.core.idempotency.key import home_of
+from sequoiaspoke.core.idempotency.lease import Lease
 from sequoiaspoke.core.idempotency.ledger import Ledger, State
 from sequoiaspoke.core.idempotency.refusals import Refusals
 from sequoiaspoke.core.idempotency.safeguards import Safeguards
-from sequoiaspoke.core.idempotency.tenure import Tenure
 from sequoiaspoke.errors import (
     AnswerNotKeptError,
     DrainingError,
@@ -53,8 +53,8 @@
     """What the operators' page shows of a home."""
 
     window_open: bool
-    tenure_since: float
-    lapses: int
+    lease_start: float
+    times_closed: int
     keys: int
     kept_bytes: int
     refused_keys: int
@@ -84,25 +84,25 @@
         self.safeguards = safeguards
         self.ledger = Ledger(settings)
         self.refusals = Refusals(settings)
-        self.tenure = Tenure(settings, identity, safeguards)
+        self.lease = Lease(settings, identity, safeguards)
         self.draining = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
         """Learn of an installed version."""
-        self.tenure.on_snapshot(snapshot)
+        self.lease.on_snapshot(snapshot)
 
     def on_vms(self, vms: VmList, now: Moment) -> None:
         """Learn of a VM list."""
-        self.tenure.on_vms(vms, now)
+        self.lease.on_vms(vms, now)
 
-    def on_vouch(self, answer: Answer, now: Moment) -> None:
+    def on_answer(self, answer: Answer, now: Moment) -> None:
         """Count a witness's answer."""
-        self.tenure.on_vouch(answer, now)
+        self.lease.on_answer(answer, now)
 
     def tick(self, now: Moment) -> tuple[Question, ...]:
         """Forget what is old and return the questions that are due."""
         self.ledger.forget(now)
-        return self.tenure.questions(now)
+        return self.lease.questions(now)
 
     def drain(self) -> None:
         """Take on no new key; repeats still get their answers."""
@@ -112,17 +112,17 @@
         """Decide what to do with an attempt that has arrived."""
         entry = self.ledger.get(call.key)
         if entry is not None:
-            return self._repeat(entry, call)
-        if self.refusals.knows(call.key):
+            return self._admit_retry(entry, call)
+        if self.refusals.contains(call.key):
             return Refuse(KeyRefusedError(), settled=True)
-        error = self._not_ours(call.key) or self._may_not_run(call.key, now)
+        error = self._check_home(call.key) or self._check_lease(call.key, now)
         if isinstance(error, KeyFromFutureError):
             self.refusals.add(call.key, now)
         if error is not None:
             return Refuse(error)
-        error = self._refusal(call.key, now)
+        error = self._check_admission(call.key, now)
         if error is not None:
-            return self._settle(call.key, error, now)
+            return self._refuse_for_good(call.key, error, now)
         self.ledger.start(call.key, call.fingerprint)
         return Run()
 
@@ -137,10 +137,10 @@
             return Refuse(KeyRefusedError("the call has ended"))
         error = None
         if self.safeguards.check_at_hand_over:
-            error = self._not_ours(key) or self._may_not_run(key, now)
+            error = self._check_home(key) or self._check_lease(key, now)
         if error is not None:
             self.ledger.drop(entry)
-            return self._settle(key, _as_not_run(error), now)
+            return self._refuse_for_good(key, _as_not_run(error), now)
         entry.state = State.HANDED_OVER
         return Proceed()
 
@@ -157,23 +157,23 @@
             return Refuse(error)
         if entry.state is State.QUEUED or error.ran is Ran.NOT_RUN:
             self.ledger.drop(entry)
-            return self._settle(key, _as_not_run(error), now)
+            return self._refuse_for_good(key, _as_not_run(error), now)
         self.ledger.outcome_unknown(entry, now)
         return Refuse(error)
 
     def status(self, now: Moment) -> HomeStatus:
         """Return what the operators' page shows."""
         return HomeStatus(
-            window_open=self.tenure.is_open(now),
-            tenure_since=self.tenure.begins(),
-            lapses=self.tenure.window.lapses,
+            window_open=self.lease.is_open(now),
+            lease_start=self.lease.starts_at(),
+            times_closed=self.lease.window.times_closed,
             keys=len(self.ledger.entries),
             kept_bytes=self.ledger.kept_bytes,
             refused_keys=len(self.refusals.keys),
             draining=self.draining,
         )
 
-    def _repeat(self, entry: Entry, call: KeyedCall) -> Admission:
+    def _admit_retry(self, entry: Entry, call: KeyedCall) -> Admission:
         if self.safeguards.fingerprint and entry.fingerprint != call.fingerprint:
             return Refuse(KeyReusedError())
         if entry.live:
@@ -184,43 +184,43 @@
             return Refuse(AnswerNotKeptError())
         return Replay(entry.answer)
 
-    def _not_ours(self, key: Key) -> CallError | None:
+    def _check_home(self, key: Key) -> CallError | None:
         if key.target and key.target == self.identity.target:
             if key.zone != self.identity.zone:
                 return WrongHomeError()
             gone = key.incarnation != self.identity.incarnation
             return IssuerGoneError() if gone else None
-        home = home_of(key, self.tenure.names)
+        home = home_of(key, self.lease.target_names)
         if key.zone != self.identity.zone or home != self.identity.target:
             return WrongHomeError()
         return None
 
-    def _may_not_run(self, key: Key, now: Moment) -> CallError | None:
+    def _check_lease(self, key: Key, now: Moment) -> CallError | None:
         """Say why a key not in the ledger may have run, or may run elsewhere."""
         margin = self.settings.clock_margin
         if key.minted is not None and key.minted > now.wall + margin:
             return KeyFromFutureError()
-        if not key.target and not self.tenure.is_open(now):
+        if not key.target and not self.lease.is_open(now):
             return WindowClosedError(retry_after=self.settings.window)
-        if not self.safeguards.tenure:
+        if not self.safeguards.lease_start:
             return None
         if key.minted is None:
             first_use = now.wall - self.settings.opaque_lifetime
-            return None if first_use >= self.tenure.begins() else KeyTooOldError()
+            return None if first_use >= self.lease.starts_at() else KeyTooOldError()
         if key.minted < now.wall - (self.settings.retention - margin):
             return KeyTooOldError()
-        if not key.target and key.minted < self.tenure.begins() + margin:
+        if not key.target and key.minted < self.lease.starts_at() + margin:
             return KeyTooOldError()
         return None
 
-    def _refusal(self, key: Key, now: Moment) -> CallError | None:
-        if self.refusals.covers(key, now):
+    def _check_admission(self, key: Key, now: Moment) -> CallError | None:
+        if self.refusals.may_contain(key, now):
             return KeyRefusedError()
         if self.draining:
             return DrainingError()
         return LedgerFullError(retry_after=1.0) if self.ledger.full else None
 
-    def _settle(self, key: Key, error: CallError, now: Moment) -> Refuse:
+    def _refuse_for_good(self, key: Key, error: CallError, now: Moment) -> Refuse:
         """Refuse for good a key that this process alone may run.
 
         A copy of the attempt may still be on its way through another entry. Its
--- a/sequoiaspoke/core/idempotency/key.py
+++ b/sequoiaspoke/core/idempotency/key.py
@@ -19,8 +19,10 @@
     from sequoiaspoke.core.idempotency.calls import Identity
     from sequoiaspoke.core.idempotency.settings import IdempotencySettings
 
-ALLOWED = re.compile(r"[A-Za-z0-9._~:-]+/[A-Za-z0-9._~:/+=-]+")
-ISSUED = re.compile(r"(?P<target>.+)\.(?P<incarnation>[0-9]+)\.(?P<uuid>[0-9a-f-]{36})")
+KEY_PATTERN = re.compile(r"[A-Za-z0-9._~:-]+/[A-Za-z0-9._~:/+=-]+")
+ISSUED_PATTERN = re.compile(
+    r"(?P<target>.+)\.(?P<incarnation>[0-9]+)\.(?P<uuid>[0-9a-f-]{36})"
+)
 MILLISECONDS = 1000.0
 
 
@@ -60,10 +62,10 @@
     text = text.strip().strip('"')
     if len(text) > settings.key_length:
         raise InvalidKeyError(f"key has more than {settings.key_length} characters")
-    if not ALLOWED.fullmatch(text):
+    if not KEY_PATTERN.fullmatch(text):
         raise InvalidKeyError("key is not of the form zone/uuid7")
     zone, _, rest = text.partition("/")
-    issued = ISSUED.fullmatch(rest)
+    issued = ISSUED_PATTERN.fullmatch(rest)
     if not issued:
         return Key(text, zone, _minted(rest))
     minted = _minted(issued["uuid"])
--- a/sequoiaspoke/core/idempotency/tenure.py
+++ b/sequoiaspoke/core/idempotency/lease.py
@@ -23,7 +23,7 @@
     from sequoiaspoke.core.snapshot.model import Snapshot, VmList
 
 
-class Tenure:
+class Lease:
     """Know since when this process alone may run new keys of its target."""
 
     def __init__(
@@ -37,32 +37,32 @@
         self.safeguards = safeguards
         self.window = Window(settings)
         self.assignment = Assignment(identity.zone)
-        self.names: tuple[str, ...] = ()
-        self.installed = ""  # digest of the assignment in force here
+        self.target_names: tuple[str, ...] = ()
+        self.installed_digest = ""  # digest of the assignment in force here
         self.targets = Epoch()
         self.members = Epoch()
         process = digest_of((identity.target, str(identity.incarnation)))
         self.holder = Epoch(identity.incarnation, process)
         self.current: WitnessSet | None = None
-        self.before: list[tuple[WitnessSet, float]] = []  # until, on the steady clock
+        self.previous: list[tuple[WitnessSet, float]] = []  # until, on the steady clock
         self.rounds: dict[int, Round] = {}
         # An answer may leave out that it speaks to this process. Numbered from 1, a
         # late answer to the process before would pass for one to this.
         self.last_round = identity.incarnation
-        self.next_ask = NEVER
-        self.clock_gap: float | None = None
+        self.next_round_at = NEVER
+        self.clock_offset: float | None = None
         self.superseded = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
         """Learn of an installed version; other targets end the tenure."""
         service = self.identity.service
         self.assignment.on_snapshot(snapshot)
-        self.names = self.assignment.targets(service)
-        self.installed = self.assignment.digest(service)
+        self.target_names = self.assignment.targets(service)
+        self.installed_digest = self.assignment.digest(service)
         since = self.targets.since
-        self.targets = self.targets.advance(snapshot.version, self.installed)
-        if self.targets.since != since or not self._in_step():
-            self._lapse()
+        self.targets = self.targets.advance(snapshot.version, self.installed_digest)
+        if self.targets.since != since or not self._matches_witnesses():
+            self._end()
 
     def on_vms(self, vms: VmList, now: Moment) -> None:
         """Learn of a VM list; for a while the witnesses before must vouch too."""
@@ -72,9 +72,9 @@
         if self.members.digest != chosen.digest or chosen == self.current:
             return
         if self.current is not None:
-            self.before.append((self.current, now.steady + self.settings.departed))
+            self.previous.append((self.current, now.steady + self.settings.departed))
         self.current = chosen
-        self.next_ask = now.steady
+        self.next_round_at = now.steady
 
     def questions(self, now: Moment) -> tuple[Question, ...]:
         """Return the questions to send now, if a round is due."""
@@ -83,19 +83,21 @@
         if (
             self.current is None
             or not self.targets.digest
-            or now.steady < self.next_ask
+            or now.steady < self.next_round_at
         ):
             return ()
-        self.next_ask = now.steady + self.settings.ask_every
+        self.next_round_at = now.steady + self.settings.ask_every
         self.last_round += 1
         self.rounds[self.last_round] = Round(
             now.steady, self.targets, self.members, self.holder
         )
         self._drop_old_rounds(now)
-        witnesses = {vm: None for members in self._sets(now) for vm in members.vms}
+        witnesses = {
+            vm: None for members in self._witness_sets(now) for vm in members.vms
+        }
         return tuple(self._question(vm) for vm in witnesses)
 
-    def on_vouch(self, answer: Answer, now: Moment) -> None:
+    def on_answer(self, answer: Answer, now: Moment) -> None:
         """Count an answer, or close when it shows a newer assignment."""
         asked = self.rounds.get(answer.round)
         if asked is None or answer.target != self.identity.target:
@@ -104,25 +106,28 @@
         if answer.holder.digest != self.holder.digest:
             self._on_other_holder(answer)
             return
-        if not self._agrees_on_targets(answer) or not self._in_step():
+        if not self._agree_on_targets(answer) or not self._matches_witnesses():
             return
         if answer.members.digest != self.members.digest:
-            self.window.discount(answer.witness)
+            self.window.remove_witness(answer.witness)
             return
         if self.safeguards.window:
-            self.window.count(answer.witness, asked.sent, self._sets(now), now)
+            self.window.count(answer.witness, asked.sent, self._witness_sets(now), now)
 
     def is_open(self, now: Moment) -> bool:
         """Tell whether new keys may run now."""
         if not self.safeguards.window:
             self.window.opened = self.window.opened or now
-            return self._in_step()
+            return self._matches_witnesses()
         self._check_clock(now)
-        return self.window.check(self._sets(now), now) and self._in_step()
+        return (
+            self.window.check(self._witness_sets(now), now)
+            and self._matches_witnesses()
+        )
 
-    def begins(self) -> float:
+    def starts_at(self) -> float:
         """Return the wall clock second from which minted keys may be new here."""
-        return self.window.tenure()
+        return self.window.lease_start()
 
     def _on_other_holder(self, answer: Answer) -> None:
         """Close for good when a newer process speaks for the target.
@@ -131,28 +136,28 @@
         """
         if answer.holder.number > self.holder.number:
             self.superseded = True
-            self._lapse()
+            self._end()
 
-    def _agrees_on_targets(self, answer: Answer) -> bool:
+    def _agree_on_targets(self, answer: Answer) -> bool:
         theirs, since = answer.targets, self.targets.since
         if theirs.digest != self.targets.digest:
             if theirs.number > self.targets.number:
-                self._lapse()
+                self._end()
             return False
         self.targets = self.targets.merge(theirs)
         if self.targets.since == since:
             return True
-        self._lapse()
+        self._end()
         return False
 
-    def _in_step(self) -> bool:
+    def _matches_witnesses(self) -> bool:
         """Tell whether the installed targets are those the witnesses vouch for."""
-        return self.installed == self.targets.digest and not self.superseded
+        return self.installed_digest == self.targets.digest and not self.superseded
 
-    def _lapse(self) -> None:
-        self.window.lapse()
+    def _end(self) -> None:
+        self.window.close()
         self.rounds.clear()
-        self.next_ask = NEVER
+        self.next_round_at = NEVER
 
     def _check_clock(self, now: Moment) -> None:
         """End the tenure when the wall clock steps.
@@ -161,15 +166,18 @@
         minted before it could pass for new.
         """
         gap = now.wall - now.steady
-        before, self.clock_gap = self.clock_gap, gap
-        if before is not None and abs(gap - before) > self.settings.clock_margin / 2:
-            self._lapse()
+        previous, self.clock_offset = self.clock_offset, gap
+        if (
+            previous is not None
+            and abs(gap - previous) > self.settings.clock_margin / 2
+        ):
+            self._end()
 
-    def _sets(self, now: Moment) -> tuple[WitnessSet, ...]:
+    def _witness_sets(self, now: Moment) -> tuple[WitnessSet, ...]:
         if self.current is None:
             return ()
-        self.before = [kept for kept in self.before if kept[1] > now.steady]
-        return (self.current, *(members for members, _ in self.before))
+        self.previous = [kept for kept in self.previous if kept[1] > now.steady]
+        return (self.current, *(members for members, _ in self.previous))
 
     def _question(self, vm: str) -> Question:
         return Question(
--- a/sequoiaspoke/core/idempotency/ledger.py
+++ b/sequoiaspoke/core/idempotency/ledger.py
@@ -87,7 +87,7 @@
         if answer.body:
             self.kept_bytes += len(answer.body)
             self.with_body.append(entry)
-            self._shed_bodies()
+            self._evict_bodies()
 
     def outcome_unknown(self, entry: Entry, now: Moment) -> None:
         """Note that a call broke off after it was handed over."""
@@ -99,7 +99,7 @@
         while self.ended and now.steady - self.ended[0].finished > retention:
             entry = self.ended.popleft()
             del self.entries[entry.key.text]
-            self._shed_body(entry)
+            self._evict_body(entry)
         while self.with_body and not _body_of(self.with_body[0]):
             self.with_body.popleft()
 
@@ -108,11 +108,11 @@
         entry.finished = now.steady
         self.ended.append(entry)
 
-    def _shed_bodies(self) -> None:
+    def _evict_bodies(self) -> None:
         while self.kept_bytes > self.settings.kept_bytes:
-            self._shed_body(self.with_body.popleft())
+            self._evict_body(self.with_body.popleft())
 
-    def _shed_body(self, entry: Entry) -> None:
+    def _evict_body(self, entry: Entry) -> None:
         if entry.answer is None or not entry.answer.body:
             return
         self.kept_bytes -= len(entry.answer.body)
--- a/sequoiaspoke/core/idempotency/refusals.py
+++ b/sequoiaspoke/core/idempotency/refusals.py
@@ -25,7 +25,7 @@
     def __init__(self, settings: IdempotencySettings) -> None:
         self.settings = settings
         self.keys: set[str] = set()
-        self.order: list[tuple[float, str, bool]] = []
+        self.by_time: list[tuple[float, str, bool]] = []
         self.floor = float("-inf")
         self.opaque_until = float("-inf")
 
@@ -36,22 +36,22 @@
         self.keys.add(key.text)
         opaque = key.minted is None
         when = now.wall if key.minted is None else key.minted
-        heapq.heappush(self.order, (when, key.text, opaque))
-        while len(self.order) > self.settings.refusals:
+        heapq.heappush(self.by_time, (when, key.text, opaque))
+        while len(self.by_time) > self.settings.refusals:
             self._drop_earliest(now)
 
-    def knows(self, key: Key) -> bool:
+    def contains(self, key: Key) -> bool:
         """Tell whether this very key was refused."""
         return key.text in self.keys
 
-    def covers(self, key: Key, now: Moment) -> bool:
+    def may_contain(self, key: Key, now: Moment) -> bool:
         """Tell whether a key not in the ledger may be one that was refused."""
         if key.minted is None:
             return now.wall <= self.opaque_until
         return key.minted <= self.floor
 
     def _drop_earliest(self, now: Moment) -> None:
-        when, text, opaque = heapq.heappop(self.order)
+        when, text, opaque = heapq.heappop(self.by_time)
         self.keys.discard(text)
         if opaque:
             self.opaque_until = now.wall + self.settings.opaque_lifetime
--- a/sequoiaspoke/core/idempotency/safeguards.py
+++ b/sequoiaspoke/core/idempotency/safeguards.py
@@ -10,7 +10,7 @@
     """Which rules apply; only tests leave one out, to see that it is needed."""
 
     window: bool = True
-    tenure: bool = True
+    lease_start: bool = True
     check_at_hand_over: bool = True
     witness_silence: bool = True
     fingerprint: bool = True
--- a/sequoiaspoke/core/idempotency/window.py
+++ b/sequoiaspoke/core/idempotency/window.py
@@ -30,29 +30,29 @@
 
     def __init__(self, settings: IdempotencySettings) -> None:
         self.settings = settings
-        self.asked: dict[str, float] = {}  # by witness, for its newest answer
+        self.asked_at: dict[str, float] = {}  # by witness, for its newest answer
         self.opened: Moment | None = None
-        self.lapses = 0
+        self.times_closed = 0
 
     def count(
-        self, witness: str, asked: float, sets: tuple[WitnessSet, ...], now: Moment
+        self, witness: str, asked_at: float, sets: tuple[WitnessSet, ...], now: Moment
     ) -> None:
         """Count an answer to a question sent at `asked` on the steady clock."""
         self.check(sets, now)
-        self.asked[witness] = max(asked, self.asked.get(witness, NEVER))
+        self.asked_at[witness] = max(asked_at, self.asked_at.get(witness, NEVER))
         if self.opened is None and self.closes_at(sets) >= now.steady:
             self.opened = now
 
-    def discount(self, witness: str) -> None:
+    def remove_witness(self, witness: str) -> None:
         """Forget a witness that no longer vouches."""
-        self.asked.pop(witness, None)
+        self.asked_at.pop(witness, None)
 
-    def lapse(self) -> None:
+    def close(self) -> None:
         """Close at once; the next opening begins a new tenure."""
         if self.opened is not None:
-            self.lapses += 1
+            self.times_closed += 1
         self.opened = None
-        self.asked.clear()
+        self.asked_at.clear()
 
     def check(self, sets: tuple[WitnessSet, ...], now: Moment) -> bool:
         """Tell whether the window is open; a gap, however short, ends the tenure.
@@ -62,22 +62,24 @@
         """
         if self.opened is not None and self.closes_at(sets) < now.steady:
             self.opened = None
-            self.lapses += 1
+            self.times_closed += 1
         return self.opened is not None
 
     def closes_at(self, sets: Iterable[WitnessSet]) -> float:
         """Return the steady clock second at which the last quorum grows too old."""
-        ends = [self._quorum_asked(members) for members in sets]
+        ends = [self._quorum_asked_at(members) for members in sets]
         return min(ends, default=NEVER) + self.settings.window
 
-    def tenure(self) -> float:
+    def lease_start(self) -> float:
         """Return the wall clock second from which minted keys may be new here."""
         if self.opened is None:
             return float("inf")
         return self.opened.wall + self.settings.window
 
-    def _quorum_asked(self, members: WitnessSet) -> float:
-        times = sorted((self.asked.get(vm, NEVER) for vm in members.vms), reverse=True)
+    def _quorum_asked_at(self, members: WitnessSet) -> float:
+        times = sorted(
+            (self.asked_at.get(vm, NEVER) for vm in members.vms), reverse=True
+        )
         if not 0 < members.quorum <= len(times):
             return NEVER
         return times[members.quorum - 1]
--- a/sequoiaspoke/core/idempotency/witnesses.py
+++ b/sequoiaspoke/core/idempotency/witnesses.py
@@ -24,7 +24,7 @@
     from sequoiaspoke.core.idempotency.settings import IdempotencySettings
     from sequoiaspoke.core.snapshot.model import Snapshot, VmList
 
-MOST_RECORDS = 10_000
+MAX_RECORDS = 10_000
 SILENCE_WINDOWS = 2
 
 
@@ -62,7 +62,7 @@
     return tuple(vm.name for vm in vms.vms if vm.zone == zone)
 
 
-def other_than(asked: Epoch, known: Epoch) -> Epoch | None:
+def if_changed(asked: Epoch, known: Epoch) -> Epoch | None:
     """Return what is known, or None if it is just what was asked."""
     return None if known == asked else known
 
@@ -115,15 +115,15 @@
         if question.to != self.vm:
             return None
         record = self._record(question)
-        if record is None or self.is_silent(now) or self._is_dropped():
+        if record is None or self.is_silent(now) or self._is_removed():
             return None
         return Answer(
             self.vm,
             question.target,
             question.round,
-            other_than(question.targets, record.targets),
-            other_than(question.members, record.members),
-            other_than(question.holder, record.holders[question.target]),
+            if_changed(question.targets, record.targets),
+            if_changed(question.members, record.members),
+            if_changed(question.holder, record.holders[question.target]),
         )
 
     def is_silent(self, now: Moment) -> bool:
@@ -138,7 +138,7 @@
             return False
         return now.steady - self.started <= SILENCE_WINDOWS * self.settings.window
 
-    def _is_dropped(self) -> bool:
+    def _is_removed(self) -> bool:
         """Tell whether the VM list no longer holds this VM.
 
         Homes with a newer list choose quorums without it, which an answer from
@@ -149,19 +149,19 @@
     def _record(self, question: Question) -> ServiceRecord | None:
         record = self.records.get(question.service_name)
         if record is None:
-            if len(self.records) >= MOST_RECORDS:
+            if len(self.records) >= MAX_RECORDS:
                 return None
             record = self.records[question.service_name] = ServiceRecord()
-        self._learn_own(record, question.service_name)
+        self._merge_own_view(record, question.service_name)
         record.targets = record.targets.merge(question.targets)
         record.members = record.members.merge(question.members)
         holder = record.holders.get(question.target, Epoch())
-        if not holder.digest and len(record.holders) >= MOST_RECORDS:
+        if not holder.digest and len(record.holders) >= MAX_RECORDS:
             return None
         record.holders[question.target] = holder.merge(question.holder)
         return record
 
-    def _learn_own(self, record: ServiceRecord, service: str) -> None:
+    def _merge_own_view(self, record: ServiceRecord, service: str) -> None:
         if self.assignment.snapshot is not None:
             version = self.assignment.snapshot.version
             digest = self.assignment.digest(service)
--- a/sequoiaspoke/measure/witnesscost.py
+++ b/sequoiaspoke/measure/witnesscost.py
@@ -97,7 +97,7 @@
         answer = self.witnesses[question.to].answer(question, now)
         if answer is None:
             return
-        self.homes[name].on_vouch(answer, now)
+        self.homes[name].on_answer(answer, now)
         if question.to == name:
             return
         for message in (question, answer):
--- a/sequoiaspoke/node/keyedentry.py
+++ b/sequoiaspoke/node/keyedentry.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sequoiaspoke.core.idempotency.assignment import zone_targets
-from sequoiaspoke.core.idempotency.entry import AttemptResult, tell_caller
+from sequoiaspoke.core.idempotency.entry import AttemptResult, outcome_for_caller
 from sequoiaspoke.core.idempotency.key import home_of, parse_key
 from sequoiaspoke.errors import (
     CallError,
@@ -132,7 +132,7 @@
 ) -> CallError:
     """Return the failure with what is known of all attempts with the key."""
     first = headers.get(names.IDEMPOTENCY_ATTEMPT, "") == names.FIRST_ATTEMPT
-    ran = tell_caller(results, first)
+    ran = outcome_for_caller(results, first)
     if ran is error.ran:
         return error
     known = RemoteError(error.code, error.status, ran, error.detail, error.retry_after)
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -104,9 +104,9 @@
         if not self.link.is_needed():
             return True
         now = moment()
-        tenure = self.core.tenure
-        since = tenure.begins() + self.settings.clock_margin + MINT_STEP
-        return tenure.is_open(now) and since <= now.wall
+        lease = self.core.lease
+        since = lease.starts_at() + self.settings.clock_margin + MINT_STEP
+        return lease.is_open(now) and since <= now.wall
 
     def close(self) -> None:
         """Fall silent and give up what still runs."""
--- a/sequoiaspoke/node/witnesslink.py
+++ b/sequoiaspoke/node/witnesslink.py
@@ -106,8 +106,8 @@
 
     def is_needed(self) -> bool:
         """Return whether any rule routes keyed calls to this service."""
-        tenure = self.core.tenure
-        return tenure.identity.service in tenure.assignment.routes
+        lease = self.core.lease
+        return lease.identity.service in lease.assignment.routes
 
     def refresh_vms(self) -> None:
         """Learn of the newest VM list."""
@@ -124,7 +124,7 @@
         if question.to == self.witness.vm:
             answer = self.witness.answer(question, moment())
             if answer:
-                self.core.on_vouch(answer, moment())
+                self.core.on_answer(answer, moment())
             return
         address = self.addresses.get(question.to)
         if address:
@@ -149,7 +149,7 @@
             return
         self.refresh()
         if isinstance(message, Answer):
-            self.core.on_vouch(message, moment())
+            self.core.on_answer(message, moment())
         elif isinstance(message, Question):
             answer = self.witness.answer(message, moment())
             if answer:
--- a/sequoiaspoke/tests/idempotency_world.py
+++ b/sequoiaspoke/tests/idempotency_world.py
@@ -19,7 +19,7 @@
     Replay,
     Run,
 )
-from sequoiaspoke.core.idempotency.entry import AttemptResult, tell_caller
+from sequoiaspoke.core.idempotency.entry import AttemptResult, outcome_for_caller
 from sequoiaspoke.core.idempotency.home import HomeCore
 from sequoiaspoke.core.idempotency.key import (
     Key,
@@ -72,7 +72,7 @@
     call: KeyedCall
     first: bool
     entry: int
-    told: Ran | None = None
+    outcome: Ran | None = None
     answer: KeptAnswer | None = None
 
 
@@ -85,7 +85,7 @@
 
     @property
     def done(self) -> bool:
-        return any(attempt.told is Ran.NOT_RUN for attempt in self.attempts)
+        return any(attempt.outcome is Ran.NOT_RUN for attempt in self.attempts)
 
 
 @dataclass
@@ -117,9 +117,9 @@
         self.versions = [frozenset(range(vms))] * versions
         half = self.settings.clock_margin / 2
         self.nodes = [Node(i, half * (-1) ** i) for i in range(vms)]
-        self.cut: frozenset[int] = frozenset()
+        self.isolated: frozenset[int] = frozenset()
         self.held_from: set[int] = set()
-        self.flight: list[tuple[int, int, Any]] = []
+        self.in_flight: list[tuple[int, int, Any]] = []
         self.recent: deque[tuple[int, int, Any]] = deque(maxlen=RECENT)
         self.runs: Counter[str] = Counter()
         self.keys: list[CallerKey] = []
@@ -153,7 +153,7 @@
         node.core = node.witness = None
         node.queue, node.running, node.joined, node.inbox = [], [], [], []
         for attempt in lost:
-            self.tell(attempt, AttemptResult(Ran.OUTCOME_UNKNOWN))
+            self.complete(attempt, AttemptResult(Ran.OUTCOME_UNKNOWN))
 
     def install(self, number: int, version: int) -> None:
         node = self.nodes[number]
@@ -177,41 +177,41 @@
     # -- network -------------------------------------------------------------
 
     def send(self, source: int, to: int, message: Any) -> None:
-        self.flight.append((source, to, message))
+        self.in_flight.append((source, to, message))
 
-    def passes(self, source: int, to: int) -> bool:
-        return (source in self.cut) == (to in self.cut)
+    def connected(self, source: int, to: int) -> bool:
+        return (source in self.isolated) == (to in self.isolated)
 
     def deliver_all(self) -> None:
         """Deliver what is neither held nor cut off, and what that sets off."""
         moved = True
         while moved:
-            flight, self.flight = self.flight, []
+            in_flight, self.in_flight = self.in_flight, []
             moved = False
-            for source, to, message in flight:
-                if source in self.held_from or not self.passes(source, to):
-                    self.flight.append((source, to, message))
+            for source, to, message in in_flight:
+                if source in self.held_from or not self.connected(source, to):
+                    self.in_flight.append((source, to, message))
                     continue
                 moved = True
                 self.recent.append((source, to, message))
-                self.arrive(to, message)
+                self.deliver(to, message)
 
-    def repeat(self, index: int) -> None:
+    def duplicate(self, index: int) -> None:
         if self.recent:
             _, to, message = self.recent[index % len(self.recent)]
-            self.arrive(to, message)
+            self.deliver(to, message)
 
-    def lose(self) -> None:
-        lost, self.flight = self.flight, []
+    def drop_in_flight(self) -> None:
+        lost, self.in_flight = self.in_flight, []
         for _, _, message in lost:
             if isinstance(message, Attempt):
-                self.tell(message, AttemptResult(Ran.OUTCOME_UNKNOWN))
+                self.complete(message, AttemptResult(Ran.OUTCOME_UNKNOWN))
 
-    def arrive(self, to: int, message: Any) -> None:
+    def deliver(self, to: int, message: Any) -> None:
         node = self.nodes[to]
         if node.core is None:
             if isinstance(message, Attempt):
-                self.tell(message, AttemptResult(ConnectionLostError.ran))
+                self.complete(message, AttemptResult(ConnectionLostError.ran))
         elif node.paused:
             node.inbox.append(message)
         else:
@@ -222,7 +222,7 @@
         if isinstance(message, Attempt):
             self.on_attempt(node, message)
         elif isinstance(message, Answer):
-            node.core.on_vouch(message, now)
+            node.core.on_answer(message, now)
         elif (answer := node.witness.answer(message, now)) is not None:
             self.send(node.number, int(message.target[1:]), answer)
 
@@ -257,32 +257,34 @@
         self.keys.append(CallerKey(parse_key(text, self.settings)))
         return self.keys[-1]
 
-    def call(self, owned: CallerKey, entry: int, body: str = "a") -> Attempt | None:
+    def call(
+        self, caller_key: CallerKey, entry: int, body: str = "a"
+    ) -> Attempt | None:
         """Send an attempt through an entry to the home that its version names."""
         node = self.nodes[entry]
-        if owned.done or node.core is None or node.paused:
+        if caller_key.done or node.core is None or node.paused:
             return None
         fingerprint = Fingerprint("POST", "/book", body, SERVICE)
-        call = KeyedCall(owned.key, fingerprint)
-        attempt = Attempt(call, not owned.attempts, entry)
-        for earlier in owned.attempts:
+        call = KeyedCall(caller_key.key, fingerprint)
+        attempt = Attempt(call, not caller_key.attempts, entry)
+        for earlier in caller_key.attempts:
             earlier.first = False  # its answer alone proves nothing any more
-        owned.attempts.append(attempt)
+        caller_key.attempts.append(attempt)
         snapshot = snapshot_of(node.version, self.versions[node.version - 1])
-        home = home_of(owned.key, zone_targets(snapshot, SERVICE, ZONE))
+        home = home_of(caller_key.key, zone_targets(snapshot, SERVICE, ZONE))
         if home:
             self.send(entry, int(home[1:]), attempt)
         else:
-            self.tell(attempt, AttemptResult(ConnectError.ran))
+            self.complete(attempt, AttemptResult(ConnectError.ran))
         return attempt
 
-    def tell(
+    def complete(
         self, attempt: Attempt, result: AttemptResult, answer: KeptAnswer | None = None
     ) -> None:
         """Give an attempt its one answer; later ones reach nobody."""
-        if attempt.told is not None:
+        if attempt.outcome is not None:
             return
-        attempt.told = tell_caller((result,), attempt.first)
+        attempt.outcome = outcome_for_caller((result,), attempt.first)
         attempt.answer = answer
         call = attempt.call
         whole = f"{call.key.text} {call.fingerprint.body_digest}".encode()
@@ -298,12 +300,12 @@
         elif isinstance(decision, Join):
             node.joined.append(attempt)
         elif isinstance(decision, Replay):
-            self.tell(attempt, AttemptResult(Ran.RAN), decision.answer)
+            self.complete(attempt, AttemptResult(Ran.RAN), decision.answer)
         else:
             self.refuse(attempt, decision)
 
     def refuse(self, attempt: Attempt, decision: Refuse) -> None:
-        self.tell(attempt, AttemptResult(decision.error.ran, decision.settled))
+        self.complete(attempt, AttemptResult(decision.error.ran, decision.settled))
 
     def hand_over(self, number: int, shed: bool = False) -> bool:
         """Hand the oldest queued call to the upstream, which counts it or sheds it."""
@@ -339,7 +341,7 @@
         answer = KeptAnswer(200, "OK", (), body)
         node.core.finished(call.key, answer, now)
         for waiting in self.waiting(node, attempt):
-            self.tell(waiting, AttemptResult(Ran.RAN), answer)
+            self.complete(waiting, AttemptResult(Ran.RAN), answer)
         return True
 
     def end(self, node: Node, attempt: Attempt, decision: Refuse) -> None:
@@ -356,7 +358,7 @@
         """Raise if a promise to a caller is broken."""
         doubled = [key for key, count in self.runs.items() if count > 1]
         assert not doubled, f"ran twice: {doubled}"
-        for owned in self.keys:
-            ran = self.runs[owned.key.text]
-            assert not (owned.done and ran), f"told not-run: {owned.key.text}"
+        for caller_key in self.keys:
+            ran = self.runs[caller_key.key.text]
+            assert not (caller_key.done and ran), f"told not-run: {caller_key.key.text}"
         assert not self.faults, self.faults
--- a/sequoiaspoke/tests/test_idempotency.py
+++ b/sequoiaspoke/tests/test_idempotency.py
@@ -19,7 +19,7 @@
     Replay,
     Run,
 )
-from sequoiaspoke.core.idempotency.entry import AttemptResult, tell_caller
+from sequoiaspoke.core.idempotency.entry import AttemptResult, outcome_for_caller
 from sequoiaspoke.core.idempotency.epoch import Epoch
 from sequoiaspoke.core.idempotency.home import HomeCore
 from sequoiaspoke.core.idempotency.key import (
@@ -132,10 +132,12 @@
         refused = AttemptResult(Ran.NOT_RUN)
         lost = AttemptResult(Ran.OUTCOME_UNKNOWN)
         settled = AttemptResult(Ran.NOT_RUN, settled=True)
-        self.assertIs(Ran.OUTCOME_UNKNOWN, tell_caller((refused,), first=False))
-        self.assertIs(Ran.NOT_RUN, tell_caller((refused,), first=True))
-        self.assertIs(Ran.OUTCOME_UNKNOWN, tell_caller((lost, refused), first=True))
-        self.assertIs(Ran.NOT_RUN, tell_caller((lost, settled), first=False))
+        self.assertIs(Ran.OUTCOME_UNKNOWN, outcome_for_caller((refused,), first=False))
+        self.assertIs(Ran.NOT_RUN, outcome_for_caller((refused,), first=True))
+        self.assertIs(
+            Ran.OUTCOME_UNKNOWN, outcome_for_caller((lost, refused), first=True)
+        )
+        self.assertIs(Ran.NOT_RUN, outcome_for_caller((lost, settled), first=False))
 
 
 class HomeCase(testtools.TestCase):
@@ -223,7 +225,7 @@
         refusal = self.core.failed(call.key, ConnectionLostError(), self.now)
         self.assertRefused(KeyRefusedError, refusal, settled=True)
 
-    def test_minted_before_the_tenure(self) -> None:
+    def test_minted_before_the_lease(self) -> None:
         self.assertRefused(KeyTooOldError, self.admit(self.keyed(minted=-5.0)))
 
     def test_minted_in_the_future(self) -> None:
@@ -244,7 +246,7 @@
         """The node is cut off within its zone. Keys that it issued itself can run
         nowhere else, so their callers are served.
         """
-        self.core.tenure._lapse()
+        self.core.lease._end()
         self.assertRefused(WindowClosedError, self.admit(self.keyed()))
         key = parse_key(issue_key(self.core.identity, self.now.wall, RANDOM), SETTINGS)
         self.assertEqual(Run(), self.admit(dataclasses.replace(self.keyed(), key=key)))
@@ -262,7 +264,7 @@
         self.assertEqual(Replay(answer), self.admit(call))
         self.assertRefused(DrainingError, self.admit(self.keyed()), settled=True)
 
-    def test_stepped_clock_ends_the_tenure(self) -> None:
+    def test_clock_step_ends_the_lease(self) -> None:
         """The wall clock is set back. Keys minted before the tenure would look as
         if they were minted within it, and could run a second time.
         """
@@ -294,7 +296,7 @@
             self.assertRefused(KeyRefusedError, self.admit(call), settled=True)
         self.assertEqual(Run(), self.admit(self.keyed(minted=0.2)))
 
-    def test_large_answers_are_given_up_first(self) -> None:
+    def test_largest_and_oldest_bodies_are_evicted(self) -> None:
         small = dataclasses.replace(SETTINGS, answer_bytes=10, kept_bytes=15)
         self.core.ledger.settings = small
         calls = [self.keyed() for _ in range(3)]
@@ -320,13 +322,13 @@
         self.assertRefused(KeyTooOldError, self.admit(call))
 
 
-class TestTenure(testtools.TestCase):
+class TestLease(testtools.TestCase):
     def home(self, world: World, number: int) -> HomeCore:
         return world.nodes[number].core
 
-    def opens(self, world: World, number: int) -> bool:
+    def lease_is_open(self, world: World, number: int) -> bool:
         node = world.nodes[number]
-        return node.core.tenure.is_open(world.moment(node))
+        return node.core.lease.is_open(world.moment(node))
 
     def test_cut_off_vm_stops_and_the_rest_goes_on(self) -> None:
         """One VM loses its zone. If it went on, its keys could move to another
@@ -334,10 +336,10 @@
         """
         world = World(5)
         world.run(OPENED)
-        world.cut = frozenset({2})
+        world.isolated = frozenset({2})
         world.run(4)
-        self.assertFalse(self.opens(world, 2))
-        self.assertTrue(self.opens(world, 0))
+        self.assertFalse(self.lease_is_open(world, 2))
+        self.assertTrue(self.lease_is_open(world, 0))
 
     def test_asks_its_own_zone_alone(self) -> None:
         """A zone is cut off as a whole. Witnesses elsewhere would then close its
@@ -359,23 +361,25 @@
         world.run(OPENED)
         world.held_from = {1, 2}
         world.run(1)
-        world.cut = frozenset({0})
+        world.isolated = frozenset({0})
         world.run(4)
-        self.assertFalse(self.opens(world, 0))
-        world.flight = [sent for sent in world.flight if sent[0] in world.held_from]
-        world.held_from, world.cut = set(), frozenset()
+        self.assertFalse(self.lease_is_open(world, 0))
+        world.in_flight = [
+            sent for sent in world.in_flight if sent[0] in world.held_from
+        ]
+        world.held_from, world.isolated = set(), frozenset()
         world.deliver_all()
-        self.assertFalse(self.opens(world, 0))
+        self.assertFalse(self.lease_is_open(world, 0))
 
-    def test_unmoved_version_costs_nothing(self) -> None:
+    def test_version_with_the_same_targets_keeps_the_lease(self) -> None:
         world = World(3)
         world.run(OPENED)
-        begins = self.home(world, 0).tenure.begins()
+        starts_at = self.home(world, 0).lease.starts_at()
         world.versions.append(world.versions[0])
         for number in range(3):
             world.install(number, 2)
         world.run(3)
-        self.assertEqual(begins, self.home(world, 0).tenure.begins())
+        self.assertEqual(starts_at, self.home(world, 0).lease.starts_at())
 
     def test_targets_that_changed_and_changed_back(self) -> None:
         """A home misses the version under which its keys were another's. Its window
@@ -383,15 +387,15 @@
         """
         world = World(3)
         world.run(OPENED)
-        begins = self.home(world, 0).tenure.begins()
+        starts_at = self.home(world, 0).lease.starts_at()
         world.versions += [frozenset({1}), world.versions[0]]
         for version in (2, 3):
             for number in (1, 2):
                 world.install(number, version)
             world.run(0.5 if version == 2 else 2.0)
-        self.assertGreater(self.home(world, 0).tenure.begins(), begins)
+        self.assertGreater(self.home(world, 0).lease.starts_at(), starts_at)
 
-    def test_woken_process_of_a_replaced_vm(self) -> None:
+    def test_resumed_process_of_a_replaced_vm(self) -> None:
         """A VM is replaced while its old process sleeps. When that wakes it takes
         the target for its own, with the same version as everybody.
         """
@@ -401,13 +405,13 @@
         world.start(0, 1)
         world.run(OPENED)
         answer = world.nodes[1].witness.answer(
-            old.tenure._question("vm1"), world.moment(world.nodes[1])
+            old.lease._question("vm1"), world.moment(world.nodes[1])
         )
-        known = (old.tenure.targets, old.tenure.members, old.tenure.holder)
-        old.tenure.rounds[answer.round] = Round(world.now, *known)
-        old.on_vouch(answer, world.moment(world.nodes[0]))
-        self.assertTrue(old.tenure.superseded)
-        self.assertTrue(self.opens(world, 0))
+        known = (old.lease.targets, old.lease.members, old.lease.holder)
+        old.lease.rounds[answer.round] = Round(world.now, *known)
+        old.on_answer(answer, world.moment(world.nodes[0]))
+        self.assertTrue(old.lease.superseded)
+        self.assertTrue(self.lease_is_open(world, 0))
 
     def test_changed_witnesses_must_agree_before_and_after(self) -> None:
         """The VM list replaces most witnesses at once. A quorum of new ones alone
@@ -443,11 +447,11 @@
         world.versions.append(frozenset({1}))
         return world
 
-    def order(self, world: World, entry: int, owned=None):
-        owned = owned or world.mint()
-        world.call(owned, entry)
+    def order(self, world: World, entry: int, caller_key=None):
+        caller_key = caller_key or world.mint()
+        world.call(caller_key, entry)
         world.deliver_all()
-        return owned
+        return caller_key
 
     def work(self, world: World) -> None:
         for number in range(5):
@@ -461,36 +465,36 @@
 
         def history(safeguards: Safeguards) -> None:
             world = self.moved(safeguards)
-            world.cut = frozenset({0})
+            world.isolated = frozenset({0})
             for number in range(1, 5):
                 world.install(number, 2)
             world.run(8)
-            owned = self.order(world, 1)
+            caller_key = self.order(world, 1)
             self.work(world)
-            self.assertEqual(1, world.runs[owned.key.text])
-            self.order(world, 0, owned)
+            self.assertEqual(1, world.runs[caller_key.key.text])
+            self.order(world, 0, caller_key)
             self.work(world)
             world.check()
 
         self.assertNeeded("window", history)
 
-    def test_tenure(self) -> None:
+    def test_lease_start(self) -> None:
         """An order's answer is lost, and the next version moves its key. The new
         home knows nothing of the run.
         """
 
         def history(safeguards: Safeguards) -> None:
             world = self.moved(safeguards)
-            owned = self.order(world, 0)
+            caller_key = self.order(world, 0)
             self.work(world)
             for number in range(5):
                 world.install(number, 2)
             world.run(8)
-            self.order(world, 1, owned)
+            self.order(world, 1, caller_key)
             self.work(world)
             world.check()
 
-        self.assertNeeded("tenure", history)
+        self.assertNeeded("lease_start", history)
 
     def test_check_at_hand_over(self) -> None:
         """A process is paused with an order in its queue, and the key moves to a
@@ -500,17 +504,17 @@
 
         def history(safeguards: Safeguards) -> None:
             world = self.moved(safeguards, skew=-20.0)
-            owned = self.order(world, 0)
+            caller_key = self.order(world, 0)
             world.pause(0)
             for number in range(1, 5):
                 world.install(number, 2)
             world.run(25)
-            self.order(world, 1, owned)
+            self.order(world, 1, caller_key)
             self.work(world)
-            self.assertEqual(1, world.runs[owned.key.text])
+            self.assertEqual(1, world.runs[caller_key.key.text])
             world.resume(0)
             self.work(world)
-            assert world.runs[owned.key.text] == 1
+            assert world.runs[caller_key.key.text] == 1
 
         self.assertNeeded("check_at_hand_over", history)
 
@@ -525,14 +529,14 @@
             for _ in range(8):
                 world.kill(2)
                 world.start(2, 1)
-                world.cut = frozenset({0, 2, 3})
+                world.isolated = frozenset({0, 2, 3})
                 world.run(1)
-                world.cut = frozenset({0, 3})
+                world.isolated = frozenset({0, 3})
                 for number in (1, 4):
                     world.install(number, 2)
                 world.run(1)
-            owned = self.order(world, 1)
-            self.order(world, 0, owned)
+            caller_key = self.order(world, 1)
+            self.order(world, 0, caller_key)
             self.work(world)
             world.check()
 
@@ -545,10 +549,10 @@
 
         def history(safeguards: Safeguards) -> None:
             world = self.moved(safeguards)
-            owned = self.order(world, 0)
+            caller_key = self.order(world, 0)
             self.work(world)
             world.finish(0)
-            world.call(owned, 0, "b")
+            world.call(caller_key, 0, "b")
             world.deliver_all()
             world.check()
 
--- a/sequoiaspoke/tests/test_idempotency_property.py
+++ b/sequoiaspoke/tests/test_idempotency_property.py
@@ -73,17 +73,17 @@
         self, skew: float, entry: int, form: str, works: bool, count: int
     ) -> None:
         for _ in range(count):
-            owned = self.world.mint(skew, form, self.vm(entry))
-            self.world.call(owned, self.vm(entry))
+            caller_key = self.world.mint(skew, form, self.vm(entry))
+            self.world.call(caller_key, self.vm(entry))
         self.world.deliver_all()
         if works:
             self.work()
 
     @rule(entry=NUMBER, works=st.booleans(), body=st.sampled_from("aaab"))
     def retry(self, entry: int, works: bool, body: str) -> None:
-        for owned in self.world.keys[-RETRIED:]:
+        for caller_key in self.world.keys[-RETRIED:]:
             for number in range(self.vms):
-                self.world.call(owned, self.vm(entry + number), body)
+                self.world.call(caller_key, self.vm(entry + number), body)
         self.world.deliver_all()
         if works:
             self.work()
@@ -104,7 +104,7 @@
     ) -> None:
         late = self.pick(late)
         if cuts:
-            self.world.cut = late
+            self.world.isolated = late
         self.world.versions.append(self.pick(chosen) or frozenset({0}))
         for number in set(range(self.vms)) - late:
             self.world.install(number, len(self.world.versions))
@@ -135,11 +135,11 @@
 
     @rule(group=FEW)
     def cut(self, group: frozenset[int]) -> None:
-        self.world.cut = self.pick(group)
+        self.world.isolated = self.pick(group)
 
     @rule()
     def heal(self) -> None:
-        self.world.cut = frozenset()
+        self.world.isolated = frozenset()
         self.world.held_from.clear()
         self.world.deliver_all()
 
@@ -149,12 +149,12 @@
 
     @rule(index=st.integers(0, 39), loses=st.booleans())
     def disorder(self, index: int, loses: bool) -> None:
-        self.world.repeat(index)
+        self.world.duplicate(index)
         if loses:
-            self.world.lose()
+            self.world.drop_in_flight()
 
     @invariant()
-    def promises_hold(self) -> None:
+    def guarantees_hold(self) -> None:
         self.world.check()
 
 
