--- a/sequoiaspoke/core/idempotency/__init__.py
+++ b/sequoiaspoke/core/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Run a call that may not be repeated at most once, and answer honestly."""
+"""Run each non-idempotent call at most once, and report whether it ran."""
--- a/sequoiaspoke/core/idempotency/assignment.py
+++ b/sequoiaspoke/core/idempotency/assignment.py
@@ -1,4 +1,4 @@
-"""Which targets of a zone may run the keys of a service, at one version."""
+"""Find the targets of a zone that may run a service's keys at one version."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Assignment:
-    """The installed version as the keys of one zone see it."""
+    """The part of the installed version that decides where a zone's keys run."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
@@ -25,7 +25,7 @@
         self.routes: dict[str, str] = {}
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn of an installed version."""
+        """Take an installed version."""
         if self.snapshot is None or snapshot.rules != self.snapshot.rules:
             self.routes = keyed_routes(snapshot)
         self.snapshot = snapshot
@@ -37,11 +37,11 @@
         return zone_targets(self.snapshot, service, self.zone)
 
     def digest(self, service: str) -> str:
-        """Return what tells this assignment of a service from another.
+        """Return a digest of a service's assignment.
 
-        The routes of keyed calls are part of it. A rule that sends a booking to
-        another service between two attempts would else find a home there that
-        never heard of the first.
+        It covers the routes of keyed calls too. If a changed rule sends a retry to
+        another service, the home there does not know the first attempt; a changed
+        digest ends its lease, so that it does not run the key again.
         """
         return digest_of((*self.targets(service), self.routes.get(service, "")))
 
@@ -54,7 +54,7 @@
 
 
 def keyed_rules(snapshot: Snapshot) -> tuple[Rule, ...]:
-    """Return the rules that route keyed calls, in their order."""
+    """Return the rules that route keyed calls, in rule order."""
     return tuple(
         rule
         for rule in snapshot.rules
@@ -63,11 +63,12 @@
 
 
 def keyed_routes(snapshot: Snapshot) -> dict[str, str]:
-    """Return for each service a digest of how keyed calls come to it.
+    """Return for each service a digest of the rules that route keyed calls to it.
 
-    A call moves to a service when one of its rules is new, or when an earlier rule
-    that took the call is gone. So each rule counts with the earlier ones that can
-    hold for the same request; the order of others, and other services, do not.
+    A call moves to a service when a rule for that service is added, or when an
+    earlier rule that matched the call is removed. So the digest covers each rule
+    of the service together with the earlier rules that may match the same request.
+    Other services and the order of unrelated rules do not affect it.
     """
     rules = keyed_rules(snapshot)
     routes: dict[str, list[str]] = {}
@@ -84,7 +85,7 @@
 
 
 def may_overlap(one: tuple[Condition, ...], other: tuple[Condition, ...]) -> bool:
-    """Return whether some request can meet both; true where it is not sure."""
+    """Return whether a request can match both; true if that is undecided."""
     return not any(
         _are_disjoint(mine, theirs)
         for mine in one
@@ -115,7 +116,7 @@
 
 
 def pick_by_key(text: str, split: tuple[WeightedService, ...]) -> str:
-    """Choose a service of a split, the same one for each repeat of a key."""
+    """Choose a service of a weighted split, the same one for each use of a key."""
     digest = blake2b(text.encode(), digest_size=8).digest()
     total = sum(each.weight for each in split)
     remaining = int.from_bytes(digest, "big") / HASH_RANGE * total
--- a/sequoiaspoke/core/idempotency/calls.py
+++ b/sequoiaspoke/core/idempotency/calls.py
@@ -1,4 +1,4 @@
-"""Keyed calls, the answers kept for them and what the home decides."""
+"""Keyed calls, the answers kept for them and the decisions of the home."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True)
 class Fingerprint:
-    """What a repeat must share with the first attempt.
+    """What a retry must have in common with the first attempt.
 
-    The service stands for the route: rules may be renamed between two attempts.
+    It holds the service instead of the rule, since rules may be renamed between
+    two attempts.
     """
 
     method: str
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True)
 class KeyedCall:
-    """One attempt at a call that may not be repeated."""
+    """One attempt at a call that must not run twice."""
 
     key: Key
     fingerprint: Fingerprint
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class KeptAnswer:
-    """The upstream's whole answer; None for a body too large to keep."""
+    """The upstream's whole answer; the body is None if it was too large to keep."""
 
     status: int
     reason: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """The target and the process that decide."""
+    """The target and the process that decides for it."""
 
     vm: str
     zone: str
@@ -54,17 +55,17 @@
 
 @dataclass(frozen=True)
 class Run:
-    """The key is new; queue the call and check again before handing it over."""
+    """The key is new: queue the call, and check again before handing it over."""
 
 
 @dataclass(frozen=True)
 class Join:
-    """The first attempt still runs; wait for its answer."""
+    """The first attempt has not ended: wait for its answer."""
 
 
 @dataclass(frozen=True)
 class Replay:
-    """The first attempt was answered; give that answer."""
+    """The first attempt was answered: return that answer."""
 
     answer: KeptAnswer
 
@@ -81,7 +82,7 @@
     Attributes
     ----------
     error : CallError
-        Why, and what is known of earlier attempts.
+        The reason, and what is known of earlier attempts.
     settled : bool
         Whether it is certain that no attempt with this key ran or will run.
     """
--- a/sequoiaspoke/core/idempotency/entry.py
+++ b/sequoiaspoke/core/idempotency/entry.py
@@ -1,4 +1,4 @@
-"""What an entry tells a caller after its attempts at a keyed call."""
+"""Combine the results of an entry's attempts at a keyed call for the caller."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """What one attempt came to.
+    """The result of one attempt.
 
     Attributes
     ----------
     ran : Ran
         Whether this attempt ran.
     settled : bool
-        Whether the key's home vouched that no attempt runs, now or later.
+        Whether the key's home guarantees that no attempt with the key runs, now or
+        later.
     """
 
     ran: Ran
@@ -24,13 +25,13 @@
 
 
 def outcome_for_caller(results: tuple[AttemptResult, ...], first: bool) -> Ran:
-    """Say whether any call with this key ran.
+    """Return whether any call with this key ran, as far as is known.
 
-    An attempt that was not run does not prove that an earlier one was not: it may
-    have been refused here by a home that never knew of the run. A caller who heard
-    `not-run` would make a new key, and the work would be done twice. So `not-run`
-    is told when the home settles it, or when the caller declares that it has made
-    no other attempt with the key and none of ours went out.
+    An attempt that did not run does not prove that earlier ones did not: the home
+    that refused it may not know of a run elsewhere. A caller that receives
+    `not-run` makes a new key, and the work would be done twice. So `not-run` is
+    returned only if the home settled the key, or if the caller declares this its
+    first attempt with the key and none of this entry's attempts ran.
     """
     if any(result.ran is Ran.RAN for result in results):
         return Ran.RAN
--- a/sequoiaspoke/core/idempotency/home.py
+++ b/sequoiaspoke/core/idempotency/home.py
@@ -1,9 +1,9 @@
-"""Decide for one target which keyed calls run, and give repeats their answer.
+"""Decide for one target which keyed calls run, and answer their retries.
 
-A key runs only in the process that held a quorum of witnesses without a gap from one
-window before the key was minted until the call is handed over. No two processes can
-both have held one over that time, so at most one can ever run a key, and what that
-one refuses is not run anywhere.
+A process runs a key only if a quorum of witnesses confirmed it without a gap, from
+one window before the key was minted until the call is handed over. Two processes
+cannot both hold a quorum over that time. So at most one process can ever run a key,
+and a key that it refuses runs nowhere.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class HomeStatus:
-    """What the operators' page shows of a home."""
+    """State of a home for operators."""
 
     window_open: bool
     lease_start: float
@@ -70,7 +70,7 @@
     identity : Identity
         The target and this process.
     safeguards : Safeguards
-        Rules in force; all of them outside tests.
+        Rules that apply; only tests turn one off.
     """
 
     def __init__(
@@ -88,28 +88,28 @@
         self.draining = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn of an installed version."""
+        """Take an installed version."""
         self.lease.on_snapshot(snapshot)
 
     def on_vms(self, vms: VmList, now: Moment) -> None:
-        """Learn of a VM list."""
+        """Take a VM list."""
         self.lease.on_vms(vms, now)
 
     def on_answer(self, answer: Answer, now: Moment) -> None:
-        """Count a witness's answer."""
+        """Take a witness's answer."""
         self.lease.on_answer(answer, now)
 
     def tick(self, now: Moment) -> tuple[Question, ...]:
-        """Forget what is old and return the questions that are due."""
+        """Forget expired keys and return the questions that are due."""
         self.ledger.forget(now)
         return self.lease.questions(now)
 
     def drain(self) -> None:
-        """Take on no new key; repeats still get their answers."""
+        """Refuse new keys from now on; retries of known keys are still answered."""
         self.draining = True
 
     def admit(self, call: KeyedCall, now: Moment) -> Admission:
-        """Decide what to do with an attempt that has arrived."""
+        """Decide what to do with an attempt that arrived."""
         entry = self.ledger.get(call.key)
         if entry is not None:
             return self._admit_retry(entry, call)
@@ -127,10 +127,10 @@
         return Run()
 
     def hand_over(self, key: Key, now: Moment) -> Proceed | Refuse:
-        """Check again at the moment of handing the call to the upstream.
+        """Check the lease again just before the call goes to the upstream.
 
-        A process that was paused since the admission would otherwise act on an old
-        window, while the key has run at a new home.
+        If the process was paused after admission, its lease may have expired and
+        the key may have run at a new home.
         """
         entry = self.ledger.get(key)
         if entry is None or entry.state is not State.QUEUED:
@@ -151,7 +151,7 @@
             self.ledger.answered(entry, answer, now)
 
     def failed(self, key: Key, error: CallError, now: Moment) -> Refuse:
-        """Note that the call got no whole answer, and say what to tell its callers."""
+        """Record that the call got no whole answer; return the refusal for callers."""
         entry = self.ledger.get(key)
         if entry is None or not entry.live:
             return Refuse(error)
@@ -162,7 +162,7 @@
         return Refuse(error)
 
     def status(self, now: Moment) -> HomeStatus:
-        """Return what the operators' page shows."""
+        """Return the state of the home for operators."""
         return HomeStatus(
             window_open=self.lease.is_open(now),
             lease_start=self.lease.starts_at(),
@@ -196,7 +196,7 @@
         return None
 
     def _check_lease(self, key: Key, now: Moment) -> CallError | None:
-        """Say why a key not in the ledger may have run, or may run elsewhere."""
+        """Return the reason if an unknown key may have run or may run elsewhere."""
         margin = self.settings.clock_margin
         if key.minted is not None and key.minted > now.wall + margin:
             return KeyFromFutureError()
@@ -221,10 +221,10 @@
         return LedgerFullError(retry_after=1.0) if self.ledger.full else None
 
     def _refuse_for_good(self, key: Key, error: CallError, now: Moment) -> Refuse:
-        """Refuse for good a key that this process alone may run.
+        """Refuse a key for good; only this process may run it.
 
-        A copy of the attempt may still be on its way through another entry. Its
-        caller has been told that the call was not run, so it must stay true.
+        A copy of the attempt may still arrive through another entry. It must not
+        run, because the caller is told that the call was not run.
         """
         self.refusals.add(key, now)
         return Refuse(error, settled=True)
--- a/sequoiaspoke/core/idempotency/key.py
+++ b/sequoiaspoke/core/idempotency/key.py
@@ -1,4 +1,4 @@
-"""Keys of calls that may not be repeated, and the target that may run each."""
+"""Idempotency keys, and the target that may run each."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Key:
-    """A caller's key.
+    """A parsed idempotency key.
 
     Attributes
     ----------
@@ -37,11 +37,11 @@
     zone : str
         The only zone that may run it.
     minted : float or None
-        Wall clock seconds at which it was made; None if it does not say.
+        Wall clock seconds at which it was made; None for a key without a time.
     target : str
-        The target that issued it; empty for a caller's own key.
+        The target that issued it; empty for a key that the caller made.
     incarnation : int
-        The process of that target that issued it.
+        Incarnation of the process that issued it.
     """
 
     text: str
@@ -52,12 +52,12 @@
 
 
 def parse_key(text: str, settings: IdempotencySettings) -> Key:
-    """Read an `Idempotency-Key`.
+    """Parse an `Idempotency-Key` header.
 
     Raises
     ------
     InvalidKeyError
-        The key is too long, names no zone or has other characters.
+        The key is too long, names no zone or has characters that are not allowed.
     """
     text = text.strip().strip('"')
     if len(text) > settings.key_length:
@@ -81,7 +81,7 @@
 
 
 def mint_key(zone: str, wall: float, rng: Random) -> str:
-    """Make a key for a zone, as a caller would."""
+    """Make a key for a zone, as callers do."""
     return f"{zone}/{uuid7_at(wall, rng)}"
 
 
@@ -92,7 +92,7 @@
 
 
 def home_of(key: Key, targets: Iterable[str]) -> str:
-    """Choose the target that may run a key; empty if there is none."""
+    """Return the target that may run a key; empty if there is none."""
     targets = tuple(targets)
     if key.target:
         return key.target if key.target in targets else ""
--- a/sequoiaspoke/core/idempotency/lease.py
+++ b/sequoiaspoke/core/idempotency/lease.py
@@ -1,4 +1,4 @@
-"""Hold the window of one target: ask the witnesses and weigh what they say."""
+"""Hold the lease of one target: ask the witnesses and evaluate their answers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Lease:
-    """Know since when this process alone may run new keys of its target."""
+    """The exclusive right of this process to run new keys of its target."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.window = Window(settings)
         self.assignment = Assignment(identity.zone)
         self.target_names: tuple[str, ...] = ()
-        self.installed_digest = ""  # digest of the assignment in force here
+        self.installed_digest = ""  # of the assignment in force in this process
         self.targets = Epoch()
         self.members = Epoch()
         process = digest_of((identity.target, str(identity.incarnation)))
@@ -46,15 +46,15 @@
         self.current: WitnessSet | None = None
         self.previous: list[tuple[WitnessSet, float]] = []  # until, on the steady clock
         self.rounds: dict[int, Round] = {}
-        # An answer may leave out that it speaks to this process. Numbered from 1, a
-        # late answer to the process before would pass for one to this.
+        # An answer may leave out the holder. If rounds were numbered from 1, a late
+        # answer to the previous process could match a round of this one.
         self.last_round = identity.incarnation
         self.next_round_at = NEVER
         self.clock_offset: float | None = None
         self.superseded = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn of an installed version; other targets end the tenure."""
+        """Take an installed version; changed targets end the lease."""
         service = self.identity.service
         self.assignment.on_snapshot(snapshot)
         self.target_names = self.assignment.targets(service)
@@ -65,7 +65,7 @@
             self._end()
 
     def on_vms(self, vms: VmList, now: Moment) -> None:
-        """Learn of a VM list; for a while the witnesses before must vouch too."""
+        """Take a VM list; the previous witnesses must confirm too for a while."""
         names = zone_vms(vms, self.identity.zone)
         chosen = choose_witnesses(self.identity.service, names, self.settings)
         self.members = self.members.advance(vms.revision, chosen.digest)
@@ -98,7 +98,7 @@
         return tuple(self._question(vm) for vm in witnesses)
 
     def on_answer(self, answer: Answer, now: Moment) -> None:
-        """Count an answer, or close when it shows a newer assignment."""
+        """Count an answer, or end the lease if it shows a newer assignment."""
         asked = self.rounds.get(answer.round)
         if asked is None or answer.target != self.identity.target:
             return
@@ -115,7 +115,7 @@
             self.window.count(answer.witness, asked.sent, self._witness_sets(now), now)
 
     def is_open(self, now: Moment) -> bool:
-        """Tell whether new keys may run now."""
+        """Return whether new keys may run now."""
         if not self.safeguards.window:
             self.window.opened = self.window.opened or now
             return self._matches_witnesses()
@@ -126,13 +126,14 @@
         )
 
     def starts_at(self) -> float:
-        """Return the wall clock second from which minted keys may be new here."""
+        """Return the wall clock time of minting from which keys may be new here."""
         return self.window.lease_start()
 
     def _on_other_holder(self, answer: Answer) -> None:
-        """Close for good when a newer process speaks for the target.
+        """End the lease for good if a newer process owns the target.
 
-        A replaced VM may wake and go on as if the target were still its own.
+        The old process of a replaced VM may resume after a pause and still take
+        the target for its own.
         """
         if answer.holder.number > self.holder.number:
             self.superseded = True
@@ -151,7 +152,7 @@
         return False
 
     def _matches_witnesses(self) -> bool:
-        """Tell whether the installed targets are those the witnesses vouch for."""
+        """Return whether the installed targets are those the witnesses confirm."""
         return self.installed_digest == self.targets.digest and not self.superseded
 
     def _end(self) -> None:
@@ -160,10 +161,10 @@
         self.next_round_at = NEVER
 
     def _check_clock(self, now: Moment) -> None:
-        """End the tenure when the wall clock steps.
+        """End the lease if the wall clock stepped.
 
-        Tenure is compared with the times callers stamp on keys; after a step, keys
-        minted before it could pass for new.
+        The start of the lease is compared with the times at which keys were minted.
+        After a step, keys minted before the lease could pass for new ones.
         """
         gap = now.wall - now.steady
         previous, self.clock_offset = self.clock_offset, gap
--- a/sequoiaspoke/core/idempotency/ledger.py
+++ b/sequoiaspoke/core/idempotency/ledger.py
@@ -1,10 +1,10 @@
-"""What this process knows of each key it has taken on.
+"""Record the state and the answer of each key that this process admitted.
 
-Load pattern: many keyed calls, some with large answers, and callers that repeat
-them. Without bounds the ledger would outgrow a small VM; forgetting a live key
-would run its repeat. So keys and the bytes of kept answers are bounded apart: a
-full ledger takes on no new key, and bodies are given up oldest first, after which a
-repeat still learns that the call ran.
+With many keyed calls, some with large answers, an unbounded ledger would exhaust
+the memory of a small VM. Forgetting a live key is no way out, as its retry would
+run. So the number of keys and the bytes of kept answers have separate limits: a
+full ledger refuses new keys, and answer bodies are evicted oldest first. A retry
+whose body was evicted still learns that the call ran.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class State(Enum):
-    """Where a key stands."""
+    """State of a key."""
 
     QUEUED = "queued"
     HANDED_OVER = "handed-over"
@@ -45,12 +45,12 @@
 
     @property
     def live(self) -> bool:
-        """Tell whether the call has not ended."""
+        """Return whether the call has not ended."""
         return self.state in LIVE
 
 
 class Ledger:
-    """Keys that are live or ended within the retention."""
+    """Keys that are live or ended within the retention time."""
 
     def __init__(self, settings: IdempotencySettings) -> None:
         self.settings = settings
@@ -61,20 +61,20 @@
 
     @property
     def full(self) -> bool:
-        """Tell whether there is no room for another key."""
+        """Return whether there is no room for another key."""
         return len(self.entries) >= self.settings.entries
 
     def get(self, key: Key) -> Entry | None:
-        """Return what is known of a key."""
+        """Return the entry of a key, or None."""
         return self.entries.get(key.text)
 
     def start(self, key: Key, fingerprint: Fingerprint) -> Entry:
-        """Take on a new key."""
+        """Add a new key, in state queued."""
         entry = self.entries[key.text] = Entry(key, fingerprint)
         return entry
 
     def drop(self, entry: Entry) -> None:
-        """Take out a key that was not run."""
+        """Remove a key that was not run."""
         self.entries.pop(entry.key.text, None)
 
     def answered(self, entry: Entry, answer: KeptAnswer, now: Moment) -> None:
@@ -90,11 +90,11 @@
             self._evict_bodies()
 
     def outcome_unknown(self, entry: Entry, now: Moment) -> None:
-        """Note that a call broke off after it was handed over."""
+        """Record that a call failed after it was handed over."""
         self._end(entry, State.OUTCOME_UNKNOWN, now)
 
     def forget(self, now: Moment) -> None:
-        """Forget keys that ended longer ago than the retention."""
+        """Forget keys that ended longer ago than the retention time."""
         retention = max(self.settings.retention, self.settings.opaque_lifetime)
         while self.ended and now.steady - self.ended[0].finished > retention:
             entry = self.ended.popleft()
--- a/sequoiaspoke/core/idempotency/messages.py
+++ b/sequoiaspoke/core/idempotency/messages.py
@@ -1,4 +1,4 @@
-"""What homes and witnesses say to each other."""
+"""Messages between homes and witnesses."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @dataclass(frozen=True)
 class Question:
-    """A home asks a witness whether its assignment still holds.
+    """Asks a witness to confirm the home's assignment.
 
     Attributes
     ----------
     to : str
         VM of the witness.
     round : int
-        Round of questions, by which the answer's age is known.
+        Number of the round of questions; tells when an answer was asked for.
     targets : Epoch
         Targets of the service in the zone, by configuration version.
     members : Epoch
         Witnesses of the service, by revision of the VM list.
     holder : Epoch
-        Process that speaks for the target, by incarnation.
+        Process that owns the target, by incarnation.
     """
 
     to: str
@@ -40,8 +40,8 @@
 class Answer:
     """What a witness knows after a question; see `Question`.
 
-    An epoch that is the same as in the question is left out: of the many rounds in
-    which nothing changes it would be most of the bytes.
+    An epoch equal to that of the question is left out. In most rounds nothing
+    changes, and the epochs would be most of the bytes.
     """
 
     witness: str
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True)
 class Round:
-    """What a home asked its witnesses, and when.
+    """One round of questions from a home to its witnesses.
 
     Attributes
     ----------
     sent : float
-        Steady clock seconds from which the answers count.
+        Steady clock seconds at which it was sent; answers count from then.
     """
 
     sent: float
@@ -68,7 +68,7 @@
     holder: Epoch
 
     def complete(self, answer: Answer) -> Answer:
-        """Return an answer with the epochs that it left out."""
+        """Return an answer with the epochs that it left out filled in."""
         return replace(
             answer,
             targets=answer.targets or self.targets,
--- a/sequoiaspoke/core/idempotency/moment.py
+++ b/sequoiaspoke/core/idempotency/moment.py
@@ -1,4 +1,4 @@
-"""The two clocks that decisions on keys need."""
+"""An instant on the two clocks that decisions on keys use."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
     Attributes
     ----------
     steady : float
-        Seconds on a clock that never steps and also runs while paused.
+        Seconds on a clock that never steps and also runs while the process or the
+        VM is paused.
     wall : float
-        Seconds since the epoch, as callers stamp their keys.
+        Seconds since the Unix epoch, the clock of the times in keys.
     """
 
     steady: float
--- a/sequoiaspoke/core/idempotency/refusals.py
+++ b/sequoiaspoke/core/idempotency/refusals.py
@@ -1,11 +1,11 @@
-"""Remember refused keys, so that no late copy of one runs after all.
-
-Load pattern: shedding, when most new keys are refused. Remembering each for the
-whole retention would fill the memory, and forgetting one would let a delayed copy
-run after its caller was told that it did not. So a few seconds' worth are kept one
-by one, and the earliest minted give way to a floor: unknown keys minted at or
-before it are refused too. A caller notices only if its first attempt took longer to
-arrive than the seconds kept.
+"""Remember refused keys, so that a late copy of one does not run.
+
+Under load shedding most new keys are refused. Remembering each of them for the
+whole retention time would exhaust the memory; forgetting one would let a delayed
+copy run after its caller was told that it did not. So the keys of a few seconds are
+kept individually, and the earliest minted are replaced by a floor: every unknown
+key minted at or before the floor is refused. This affects a caller only if its
+first attempt took longer to arrive than those few seconds.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Refusals:
-    """Keys that are never run here."""
+    """Keys that must never run in this process."""
 
     def __init__(self, settings: IdempotencySettings) -> None:
         self.settings = settings
@@ -30,7 +30,7 @@
         self.opaque_until = float("-inf")
 
     def add(self, key: Key, now: Moment) -> None:
-        """Remember a key for good."""
+        """Add a key; when the set is full, the earliest moves below the floor."""
         if key.text in self.keys:
             return
         self.keys.add(key.text)
@@ -41,11 +41,11 @@
             self._drop_earliest(now)
 
     def contains(self, key: Key) -> bool:
-        """Tell whether this very key was refused."""
+        """Return whether this key is one of those kept individually."""
         return key.text in self.keys
 
     def may_contain(self, key: Key, now: Moment) -> bool:
-        """Tell whether a key not in the ledger may be one that was refused."""
+        """Return whether an unknown key may be one that was refused."""
         if key.minted is None:
             return now.wall <= self.opaque_until
         return key.minted <= self.floor
--- a/sequoiaspoke/core/idempotency/rendezvous.py
+++ b/sequoiaspoke/core/idempotency/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same choice everywhere, and few moves on a change."""
+"""Rendezvous hashing: every node chooses alike, and a change moves few keys."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def rank(subject: str, names: Iterable[str]) -> list[str]:
-    """Order names for a subject, the preferred one first."""
+    """Return the names in a subject's order of preference."""
     return sorted(names, key=lambda name: _weight(subject, name), reverse=True)
 
 
--- a/sequoiaspoke/core/idempotency/settings.py
+++ b/sequoiaspoke/core/idempotency/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the idempotency decisions, with the reason of each default."""
+"""Settings of the idempotency decisions, with the reason for each default."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
     window: float = option(
         3.0,
-        "Seconds that a witness's answer counts, from when it was asked: two lost "
-        "rounds close the window, and a moved key costs about this long.",
+        "Seconds that a witness's answer counts, from when it was asked for: two "
+        "lost rounds close the window, and a moved key is refused for about as long.",
         0.1,
         60,
     )
@@ -32,29 +32,32 @@
         0.0,
         10,
     )
-    witnesses: int = option(7, "VMs of the zone that vouch for a service.", 1, 31)
+    witnesses: int = option(
+        7, "VMs of the zone that confirm the homes of a service.", 1, 31
+    )
     quorum: int = option(
         5,
-        "Witnesses that must answer; 5 of 7 still meet when two members differ.",
+        "Witnesses that must answer; two quorums of 5 of 7 still share a witness "
+        "when two members differ.",
         1,
         31,
     )
     departed: float = option(
         30.0,
-        "Seconds for which the witnesses before a change of the VM list are asked "
-        "too; longer than the list takes to reach every node.",
+        "Seconds for which the previous witnesses are still asked after a change of "
+        "the VM list; longer than the list takes to reach every node.",
         0,
         3600,
     )
     retention: float = option(
         300.0,
-        "Seconds that a finished key is remembered; older keys are not run.",
+        "Seconds for which a finished key is remembered; older keys are not run.",
         5,
         86400,
     )
     opaque_lifetime: float = option(
         60.0,
-        "Seconds for which a caller may repeat a key that has no minted time.",
+        "Seconds for which a caller may retry a key that has no minted time.",
         1,
         3600,
     )
@@ -66,30 +69,30 @@
     )
     refusals: int = option(
         2000,
-        "Refused keys remembered one by one, a few seconds of shedding.",
+        "Refused keys remembered individually: a few seconds of load shedding.",
         1,
         100000,
     )
     answer_bytes: int = option(
-        65536, "Bytes of an answer that is kept for repeats.", 0, 1 << 24
+        65536, "Bytes of an answer that is kept for retries.", 0, 1 << 24
     )
     kept_bytes: int = option(
-        8 << 20, "Bytes of all kept answers, an eighth of the memory.", 0, 1 << 30
+        8 << 20, "Bytes of all kept answers; an eighth of the memory.", 0, 1 << 30
     )
     body_bytes: int = option(
-        1 << 20, "Bytes of a keyed call's body, which is held whole.", 0, 1 << 26
+        1 << 20, "Bytes of a keyed call's body, which is buffered whole.", 0, 1 << 26
     )
     patience: float = option(
         30.0,
         "Seconds the home waits for its upstream after the caller's deadline, so "
-        "that a repeat gets the answer.",
+        "that a retry gets the answer.",
         0,
         3600,
     )
     linger: float = option(
         3.0,
-        "Seconds after its last keyed answer for which a planned stop, within its "
-        "grace, still answers repeats: time for a caller to notice and repeat.",
+        "Seconds after its last keyed answer for which a draining node, within its "
+        "grace, still answers retries: time for a caller to notice and retry.",
         0,
         3600,
     )
--- a/sequoiaspoke/core/idempotency/witnesses.py
+++ b/sequoiaspoke/core/idempotency/witnesses.py
@@ -1,8 +1,8 @@
-"""Choose the witnesses of a service, and answer as one.
+"""Choose the witnesses of a service, and answer as one of them.
 
-A home may run new keys only while a quorum of VMs of its zone vouches for its
-assignment. Any two quorums meet in one witness, and a witness never goes back to
-an older version, so two homes of the same key cannot both hold a quorum for long.
+A home may run new keys only while a quorum of VMs of its zone confirms its
+assignment. Any two quorums share a witness, and a witness never returns to an older
+version, so two homes of the same key cannot both hold a quorum for long.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class WitnessSet:
-    """The VMs that vouch for a service and how many of them must."""
+    """The VMs that confirm homes of a service, and how many of them must."""
 
     vms: tuple[str, ...]
     quorum: int
 
     @property
     def digest(self) -> str:
-        """Return what tells this set from another."""
+        """Return a digest of the set."""
         return digest_of(self.vms)
 
 
@@ -46,8 +46,8 @@
 ) -> WitnessSet:
     """Choose the witnesses of a service among the VMs of its zone.
 
-    Whatever the settings say, a quorum is a majority. Two smaller ones need not
-    meet, and two homes of one key would both be vouched for.
+    A quorum is at least a majority, whatever the settings say. Two smaller quorums
+    need not share a witness, so two homes of one key could both hold one.
     """
     ranked = rank(service, vms)
     chosen = tuple(ranked[: settings.witnesses])
@@ -58,18 +58,18 @@
 
 
 def zone_vms(vms: VmList, zone: str) -> tuple[str, ...]:
-    """Return the names of a zone's VMs, leaving ones included."""
+    """Return the names of a zone's VMs, including those that are leaving."""
     return tuple(vm.name for vm in vms.vms if vm.zone == zone)
 
 
 def if_changed(asked: Epoch, known: Epoch) -> Epoch | None:
-    """Return what is known, or None if it is just what was asked."""
+    """Return the known epoch, or None if it equals the one in the question."""
     return None if known == asked else known
 
 
 @dataclass
 class ServiceRecord:
-    """What a witness has vouched for; each epoch only moves forward."""
+    """What a witness has confirmed; each epoch only moves forward."""
 
     targets: Epoch = field(default_factory=Epoch)
     members: Epoch = field(default_factory=Epoch)
@@ -77,7 +77,7 @@
 
 
 class Witness:
-    """Vouch for homes of the zone.
+    """Confirm the assignments of homes of the zone.
 
     Parameters
     ----------
@@ -103,15 +103,15 @@
         self.vms: VmList | None = None
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn of an installed version."""
+        """Take an installed version."""
         self.assignment.on_snapshot(snapshot)
 
     def on_vms(self, vms: VmList) -> None:
-        """Learn of a VM list."""
+        """Take a VM list."""
         self.vms = vms
 
     def answer(self, question: Question, now: Moment) -> Answer | None:
-        """Record what the home asserts and say what is known; None while silent."""
+        """Record the home's claim and return what is known; None while silent."""
         if question.to != self.vm:
             return None
         record = self._record(question)
@@ -127,22 +127,22 @@
         )
 
     def is_silent(self, now: Moment) -> bool:
-        """Tell whether the process started too recently to vouch.
+        """Return whether the process started too recently to answer.
 
-        A restarted witness forgot what it vouched for. If it spoke at once, it
-        could vouch for an older version within the window of a home it vouched
-        for before, and both homes would run the same key. After two windows no
-        answer of the earlier process counts any more.
+        A restarted witness has lost its records. If it answered at once, it could
+        confirm an older version while the window of a home that it confirmed
+        before is still open, and both homes would run the same key. After two
+        windows no answer of the previous process counts any more.
         """
         if not self.safeguards.witness_silence:
             return False
         return now.steady - self.started <= SILENCE_WINDOWS * self.settings.window
 
     def _is_removed(self) -> bool:
-        """Tell whether the VM list no longer holds this VM.
+        """Return whether the VM list no longer contains this VM.
 
-        Homes with a newer list choose quorums without it, which an answer from
-        here to a home with an older list need not meet.
+        Homes with a newer list choose quorums without this VM. A quorum of a home
+        with an older list that counts it need not share a witness with those.
         """
         return self.vms is not None and self.vm not in zone_vms(self.vms, self.zone)
 
--- a/sequoiaspoke/demo/deployment.py
+++ b/sequoiaspoke/demo/deployment.py
@@ -39,7 +39,7 @@
 SERVICE_MS = 4.0
 LOOK_SECONDS = 0.005
 # A machine that is busy with other work may let this one process wait for seconds;
-# with frequent questions and a longer window no home loses its tenure for that.
+# with frequent questions and a longer window no home loses its lease for that.
 STEADY_KEYS = IdempotencySettings(
     window=2.5, ask_every=0.25, clock_margin=0.25, linger=0
 )
--- a/sequoiaspoke/node/witnesslink.py
+++ b/sequoiaspoke/node/witnesslink.py
@@ -36,7 +36,7 @@
     """Return the present on both clocks, read close together.
 
     A process that is set aside between the two readings would see a step of the
-    wall clock where there is none, and end its tenure for it.
+    wall clock where there is none, and end its lease for it.
     """
     for _ in range(CLOCK_READINGS):
         steady = time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/sequoiaspoke/tests/idempotency_world.py
+++ b/sequoiaspoke/tests/idempotency_world.py
@@ -1,4 +1,4 @@
-"""A zone of nodes, a few callers and an upstream that counts its runs."""
+"""Simulation of a zone of nodes, callers and an upstream that counts its runs."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 @dataclass
 class Attempt:
-    """One try of a caller, as its entry sees it."""
+    """One attempt of a caller, as its entry sees it."""
 
     call: KeyedCall
     first: bool
@@ -78,7 +78,7 @@
 
 @dataclass
 class CallerKey:
-    """A key and what its caller knows."""
+    """A key and its caller's attempts."""
 
     key: Key
     attempts: list[Attempt] = field(default_factory=list)
@@ -105,7 +105,7 @@
 
 
 class World:
-    """Drive real cores over a network that holds, repeats and loses messages."""
+    """Real cores on a simulated network that delays, duplicates and loses messages."""
 
     def __init__(
         self, vms: int, safeguards: Safeguards = Safeguards(), versions: int = 1
@@ -183,7 +183,7 @@
         return (source in self.isolated) == (to in self.isolated)
 
     def deliver_all(self) -> None:
-        """Deliver what is neither held nor cut off, and what that sets off."""
+        """Deliver all messages that are not held or cut off, and their replies."""
         moved = True
         while moved:
             in_flight, self.in_flight = self.in_flight, []
@@ -260,7 +260,7 @@
     def call(
         self, caller_key: CallerKey, entry: int, body: str = "a"
     ) -> Attempt | None:
-        """Send an attempt through an entry to the home that its version names."""
+        """Send an attempt through an entry to the home according to its version."""
         node = self.nodes[entry]
         if caller_key.done or node.core is None or node.paused:
             return None
@@ -268,7 +268,7 @@
         call = KeyedCall(caller_key.key, fingerprint)
         attempt = Attempt(call, not caller_key.attempts, entry)
         for earlier in caller_key.attempts:
-            earlier.first = False  # its answer alone proves nothing any more
+            earlier.first = False  # its answer alone no longer proves not-run
         caller_key.attempts.append(attempt)
         snapshot = snapshot_of(node.version, self.versions[node.version - 1])
         home = home_of(caller_key.key, zone_targets(snapshot, SERVICE, ZONE))
@@ -281,7 +281,7 @@
     def complete(
         self, attempt: Attempt, result: AttemptResult, answer: KeptAnswer | None = None
     ) -> None:
-        """Give an attempt its one answer; later ones reach nobody."""
+        """Record an attempt's outcome; later ones are ignored."""
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome_for_caller((result,), attempt.first)
@@ -308,7 +308,7 @@
         self.complete(attempt, AttemptResult(decision.error.ran, decision.settled))
 
     def hand_over(self, number: int, shed: bool = False) -> bool:
-        """Hand the oldest queued call to the upstream, which counts it or sheds it."""
+        """Hand the oldest queued call to the upstream, which counts or sheds it."""
         node = self.nodes[number]
         if node.core is None or node.paused or not node.queue:
             return False
@@ -355,10 +355,12 @@
         return [attempt, *joined]
 
     def check(self) -> None:
-        """Raise if a promise to a caller is broken."""
+        """Raise AssertionError if a guarantee to a caller is broken."""
         doubled = [key for key, count in self.runs.items() if count > 1]
         assert not doubled, f"ran twice: {doubled}"
         for caller_key in self.keys:
             ran = self.runs[caller_key.key.text]
-            assert not (caller_key.done and ran), f"told not-run: {caller_key.key.text}"
+            assert not (caller_key.done and ran), (
+                f"reported as not-run, but ran: {caller_key.key.text}"
+            )
         assert not self.faults, self.faults
--- a/sequoiaspoke/tests/test_idempotency.py
+++ b/sequoiaspoke/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Keys, witnesses, windows, the ledger and the home, each by its failures."""
+"""Tests of keys, witnesses, leases, the ledger and the home."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
         for text in ("", "no-zone", "/x", "bole/", "bole/a b", "bole/" + "x" * 200):
             self.assertRaises(InvalidKeyError, parse_key, text, SETTINGS)
 
-    def test_a_lost_target_moves_only_its_own_keys(self) -> None:
+    def test_a_removed_target_moves_only_its_own_keys(self) -> None:
         keys = [parse_key(f"bole/{i}", SETTINGS) for i in range(200)]
         before = [home_of(key, "abcd") for key in keys]
         after = [home_of(key, "abc") for key in keys]
@@ -94,9 +94,9 @@
 
 
 class TestEpoch(testtools.TestCase):
-    def test_return_to_the_same_targets_shows(self) -> None:
-        """Targets change from A to B and back. A home that missed B thinks that its
-        keys were its own all along, while the home under B ran some of them.
+    def test_return_to_the_same_targets_is_noticed(self) -> None:
+        """Targets change from A to B and back. A home that missed B would assume that
+        it owned its keys all along, although the home under B ran some of them.
         """
         epoch = Epoch(1, "A").advance(2, "B").advance(3, "A")
         self.assertEqual(Epoch(3, "A", 3), epoch)
@@ -109,7 +109,7 @@
 
 
 class TestWitnessChoice(testtools.TestCase):
-    def test_sets_that_differ_by_two_still_meet(self) -> None:
+    def test_quorums_of_sets_that_differ_by_two_still_meet(self) -> None:
         chosen = choose_witnesses("booking", [f"vm{i}" for i in range(90)], SETTINGS)
         self.assertEqual((7, 5), (len(chosen.vms), chosen.quorum))
         self.assertGreater(2 * chosen.quorum, len(chosen.vms) + 2)
@@ -128,7 +128,7 @@
 
 
 class TestEntry(testtools.TestCase):
-    def test_not_run_is_told_only_when_nothing_can_have_run(self) -> None:
+    def test_not_run_is_reported_only_if_nothing_can_have_run(self) -> None:
         refused = AttemptResult(Ran.NOT_RUN)
         lost = AttemptResult(Ran.OUTCOME_UNKNOWN)
         settled = AttemptResult(Ran.NOT_RUN, settled=True)
@@ -141,7 +141,7 @@
 
 
 class HomeCase(testtools.TestCase):
-    """A zone of one VM whose home has long held its tenure."""
+    """A zone of one VM whose home already holds its lease."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -171,7 +171,7 @@
 
 
 class TestHome(HomeCase):
-    def test_repeat_joins_and_then_gets_the_first_answer(self) -> None:
+    def test_retry_joins_and_then_gets_the_first_answer(self) -> None:
         call = self.keyed()
         self.assertEqual(Run(), self.admit(call))
         self.assertEqual(Join(), self.admit(call))
@@ -188,8 +188,8 @@
         self.assertRefused(KeyRefusedError, self.hand_over(call))
 
     def test_other_body_under_the_same_key(self) -> None:
-        """A caller's code reuses a key for another order. It would get the first
-        order's answer and believe that the second was placed.
+        """A caller reuses a key for another order. It would get the answer to the
+        first order and take the second for placed.
         """
         call = self.keyed()
         self.admit(call)
@@ -199,8 +199,8 @@
         self.assertRefused(KeyReusedError, self.admit(other))
 
     def test_broken_connection_leaves_the_outcome_unknown(self) -> None:
-        """The upstream's connection breaks after the order was sent. A repeat that
-        ran it again could place it twice.
+        """The connection to the upstream breaks after the order was sent. Running a
+        retry could place the order twice.
         """
         call = self.keyed()
         self.admit(call)
@@ -209,8 +209,8 @@
         self.assertRefused(KeyOutcomeUnknownError, self.admit(call))
 
     def test_shed_call_is_never_run_later(self) -> None:
-        """The upstream sheds the call, and its caller hears not-run and makes a new
-        key. A copy that comes late through another entry must not run.
+        """The upstream sheds the call; its caller gets not-run and makes a new key. A
+        copy that arrives late through another entry must not run.
         """
         call = self.keyed()
         self.admit(call)
@@ -243,17 +243,17 @@
         self.assertRefused(IssuerGoneError, self.admit(call))
 
     def test_issued_key_needs_no_window(self) -> None:
-        """The node is cut off within its zone. Keys that it issued itself can run
-        nowhere else, so their callers are served.
+        """The node is cut off within its zone. Keys that it issued can run nowhere
+        else, so it still runs them.
         """
         self.core.lease._end()
         self.assertRefused(WindowClosedError, self.admit(self.keyed()))
         key = parse_key(issue_key(self.core.identity, self.now.wall, RANDOM), SETTINGS)
         self.assertEqual(Run(), self.admit(dataclasses.replace(self.keyed(), key=key)))
 
-    def test_draining_answers_repeats_and_takes_on_no_key(self) -> None:
-        """The node stops as planned. A caller whose answer was lost asks again
-        before the process ends and must get it.
+    def test_draining_answers_retries_and_refuses_new_keys(self) -> None:
+        """The node drains. A caller whose answer was lost retries before the process
+        ends and must get the answer.
         """
         call = self.keyed()
         self.admit(call)
@@ -265,8 +265,8 @@
         self.assertRefused(DrainingError, self.admit(self.keyed()), settled=True)
 
     def test_clock_step_ends_the_lease(self) -> None:
-        """The wall clock is set back. Keys minted before the tenure would look as
-        if they were minted within it, and could run a second time.
+        """The wall clock is set back. Keys minted before the lease would seem to be
+        minted within it, and could run a second time.
         """
         self.world.nodes[0].skew -= 5.0
         self.assertRefused(WindowClosedError, self.admit(self.keyed()))
@@ -284,8 +284,8 @@
         self.assertEqual(Run(), self.admit(self.keyed(minted=0.1)))
 
     def test_forgotten_refusals_leave_a_floor(self) -> None:
-        """Under heavy shedding refused keys outgrow their room. A late copy of a
-        forgotten one must still be refused, for its caller was told not-run.
+        """Under heavy shedding more keys are refused than are kept. A late copy of a
+        forgotten one must still be refused, since its caller was told not-run.
         """
         self.core.draining = True
         calls = [self.keyed(minted=i / 100) for i in range(9)]
@@ -310,8 +310,8 @@
         self.assertIsInstance(self.admit(calls[2]), Replay)
 
     def test_forgotten_key_is_too_old_to_run(self) -> None:
-        """A caller repeats an order after the ledger has forgotten it. It must not
-        pass for a new one.
+        """A caller retries an order after the ledger has forgotten its key. The key
+        must not be taken for a new one.
         """
         call = self.keyed()
         self.admit(call)
@@ -331,8 +331,8 @@
         return node.core.lease.is_open(world.moment(node))
 
     def test_cut_off_vm_stops_and_the_rest_goes_on(self) -> None:
-        """One VM loses its zone. If it went on, its keys could move to another
-        target by a version it never hears of, and run there again.
+        """One VM is cut off from its zone. If it went on, a version that it does not
+        receive could move its keys to another target, and they would run again there.
         """
         world = World(5)
         world.run(OPENED)
@@ -342,8 +342,8 @@
         self.assertTrue(self.lease_is_open(world, 0))
 
     def test_asks_its_own_zone_alone(self) -> None:
-        """A zone is cut off as a whole. Witnesses elsewhere would then close its
-        windows, though no other zone may run its keys.
+        """A whole zone is cut off. If it needed witnesses of other zones, its windows
+        would close, although no other zone may run its keys.
         """
         core = HomeCore(SETTINGS, Identity("vm0", ZONE, SERVICE, "t0", 1))
         core.on_snapshot(snapshot_of(1, frozenset({0})))
@@ -354,8 +354,8 @@
         self.assertEqual({"vm0", "vm1", "vm2"}, asked)
 
     def test_answer_counts_from_when_it_was_asked(self) -> None:
-        """Answers are held up in the network and come in after a pause. Counted
-        from their arrival they would open a window on old news.
+        """Answers are delayed in the network and arrive after a cut. Counted from
+        their arrival, outdated answers would open the window.
         """
         world = World(3)
         world.run(OPENED)
@@ -382,8 +382,8 @@
         self.assertEqual(starts_at, self.home(world, 0).lease.starts_at())
 
     def test_targets_that_changed_and_changed_back(self) -> None:
-        """A home misses the version under which its keys were another's. Its window
-        never closed, and it would run again what ran there.
+        """A home misses the version under which another target owned its keys. Its
+        window never closed, and it would run again what already ran there.
         """
         world = World(3)
         world.run(OPENED)
@@ -396,8 +396,8 @@
         self.assertGreater(self.home(world, 0).lease.starts_at(), starts_at)
 
     def test_resumed_process_of_a_replaced_vm(self) -> None:
-        """A VM is replaced while its old process sleeps. When that wakes it takes
-        the target for its own, with the same version as everybody.
+        """A VM is replaced while its old process is paused. When that process resumes,
+        it takes the target for its own, at the same version as all others.
         """
         world = World(3)
         world.run(OPENED)
@@ -414,8 +414,8 @@
         self.assertTrue(self.lease_is_open(world, 0))
 
     def test_changed_witnesses_must_agree_before_and_after(self) -> None:
-        """The VM list replaces most witnesses at once. A quorum of new ones alone
-        need not meet the quorum of a home that still asks the old ones.
+        """The VM list replaces most witnesses at once. A quorum of the new ones alone
+        need not share a witness with that of a home that still asks the old ones.
         """
         core = HomeCore(SETTINGS, Identity("vm0", ZONE, SERVICE, "t0", 1))
         core.on_snapshot(snapshot_of(1, frozenset({0})))
@@ -429,7 +429,7 @@
 
 
 class TestSafeguards(testtools.TestCase):
-    """Each rule alone keeps some history from breaking a promise to a caller."""
+    """Each rule is needed: without it, some history breaks a guarantee."""
 
     def assertNeeded(self, name: str, history) -> None:
         history(Safeguards())
@@ -460,7 +460,7 @@
 
     def test_window(self) -> None:
         """A VM is cut off within its zone and misses a version that moves its keys.
-        An order placed on the other side is repeated on this one.
+        An order that ran on the other side is retried on this one.
         """
 
         def history(safeguards: Safeguards) -> None:
@@ -480,7 +480,7 @@
 
     def test_lease_start(self) -> None:
         """An order's answer is lost, and the next version moves its key. The new
-        home knows nothing of the run.
+        home does not know that the order ran.
         """
 
         def history(safeguards: Safeguards) -> None:
@@ -497,9 +497,9 @@
         self.assertNeeded("lease_start", history)
 
     def test_check_at_hand_over(self) -> None:
-        """A process is paused with an order in its queue, and the key moves to a
-        home whose clock is wrong by more than the margin, which runs it. When the
-        process wakes, the caller is charged again.
+        """A process is paused with an order in its queue. The key moves to a home
+        whose clock is wrong by more than the margin, and runs there. When the process
+        resumes, it would run the order again.
         """
 
         def history(safeguards: Safeguards) -> None:
@@ -519,9 +519,9 @@
         self.assertNeeded("check_at_hand_over", history)
 
     def test_witness_silence(self) -> None:
-        """A cut leaves two homes of a key with two witnesses each, and the fifth
-        restarts again and again onto the older version. Each time it has forgotten
-        that it vouched for the newer one, and so it gives both a quorum.
+        """A partition leaves two homes of a key with two witnesses each, and the fifth
+        witness restarts repeatedly with the older version. Each time it has lost its
+        record of the newer version, and so it would complete a quorum for both.
         """
 
         def history(safeguards: Safeguards) -> None:
@@ -543,9 +543,7 @@
         self.assertNeeded("witness_silence", history)
 
     def test_fingerprint(self) -> None:
-        """A caller reuses a key for another order and is given the first one's
-        answer.
-        """
+        """A caller reuses a key for another order and gets the answer to the first."""
 
         def history(safeguards: Safeguards) -> None:
             world = self.moved(safeguards)
--- a/sequoiaspoke/tests/test_idempotency_property.py
+++ b/sequoiaspoke/tests/test_idempotency_property.py
@@ -1,4 +1,4 @@
-"""No key runs twice, and what is told not-run never ran, whatever happens."""
+"""Property test: no key runs twice, and a key reported as not-run never ran."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class ZoneMachine(RuleBasedStateMachine):
-    """Random histories of one zone; see `World`."""
+    """Random fault histories of one zone; see `World`."""
 
     vms = 5
     safeguards = Safeguards()
@@ -165,7 +165,7 @@
 
 
 class TestAtMostOnce(testtools.TestCase):
-    """Each zone size draws its own histories, so that workers share the load."""
+    """One test per zone size, so that test workers can share the load."""
 
     def run_zone(self, vms: int, safeguards: Safeguards = Safeguards()) -> None:
         cls = machine(vms, vms, safeguards)
