--- a/sequoiaspoke/core/spread/answers.py
+++ b/sequoiaspoke/core/spread/answers.py
@@ -29,7 +29,7 @@
     from sequoiaspoke.core.spread.strategy import Strategy
 
 # Bytes of parts in one answer; larger ones would hold up heartbeats behind them.
-ANSWER_LIMIT = 256 * 1024
+MAX_ANSWER_BYTES = 256 * 1024
 
 
 def apply_delta(delta: HeadDelta, holder: SnapshotHolder) -> Head | None:
@@ -63,7 +63,7 @@
         self.state = state
         self.links = links
         self.strategy = strategy
-        self.bytes = TokenBucket(state.spread.answer_bytes)
+        self.byte_budget = TokenBucket(state.spread.answer_bytes)
 
     def status(self, watch: int, spare: int) -> Status:
         """Return what heartbeats say."""
@@ -77,18 +77,18 @@
             self.state.vms.revision,
             int(watch),
             spare,
-            self.strategy.summary(current),
+            self.strategy.heartbeat_digests(current),
         )
 
     def announce(self, target: Known, base: Known | None) -> None:
         """Tell every linked peer that is not known to have a version."""
-        delta = self.strategy.announced(target, base)
+        delta = self.strategy.announced_delta(target, base)
         revision = self.state.vms.revision
-        news = Announcement(target.version, target.root, delta, revision)
+        announcement = Announcement(target.version, target.root, delta, revision)
         for link in self.links.live():
-            if not link.shows(target.version):
+            if not link.has_seen(target.version):
                 self.state.count("announced")
-                self.links.send(link, news)
+                self.links.send(link, announcement)
 
     def answer(self, link: Link, number: int, message: Message, now: float) -> None:
         """Answer a question for a head, parts or the VM list."""
@@ -117,9 +117,9 @@
             packed = self.state.holder.store.get(digest)
             if packed is None:
                 continue
-            if found and size + len(packed) > ANSWER_LIMIT:
+            if found and size + len(packed) > MAX_ANSWER_BYTES:
                 break
-            if not self.bytes.take(now, len(packed)):
+            if not self.byte_budget.take(now, len(packed)):
                 self.state.count("answer-over-budget")
                 return PartsAnswer(tuple(found), busy=True)
             found.append(Part(digest, packed))
--- a/sequoiaspoke/core/spread/budget.py
+++ b/sequoiaspoke/core/spread/budget.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     import random
 
-EXPONENT_LIMIT = 16
+MAX_EXPONENT = 16
 
 
 class TokenBucket:
@@ -51,7 +51,7 @@
 
     def fail(self, now: float, at_least: float = 0.0) -> None:
         """Note a failure and choose when to try again."""
-        exponent = min(self.failures, EXPONENT_LIMIT)
+        exponent = min(self.failures, MAX_EXPONENT)
         bound = min(self.cap, self.base * 2**exponent)
         self.failures += 1
         self.until = now + at_least + self.rng.uniform(0, bound)
--- a/sequoiaspoke/core/spread/core.py
+++ b/sequoiaspoke/core/spread/core.py
@@ -15,8 +15,8 @@
 from sequoiaspoke.core.spread import events, messages
 from sequoiaspoke.core.spread.answers import Answerer
 from sequoiaspoke.core.spread.duty import Duty
+from sequoiaspoke.core.spread.intake import PLATFORM_SOURCE, Intake
 from sequoiaspoke.core.spread.links import LinkTable
-from sequoiaspoke.core.spread.news import PLATFORM_SOURCE, News
 from sequoiaspoke.core.spread.peers import PeerChooser
 from sequoiaspoke.core.spread.platform import PlatformReader
 from sequoiaspoke.core.spread.pull import Puller
@@ -37,7 +37,7 @@
 
 # An answer that carries the number of another kind of question comes from a
 # peer that is broken; taken for the other it would end in an exception here.
-ANSWER_TO = {
+QUESTION_OF = {
     messages.Welcome: messages.Hello,
     messages.BeatAnswer: messages.Beat,
     messages.HeadAnswer: messages.HeadQuestion,
@@ -62,7 +62,7 @@
         self.catch_up = CatchUp(self.state, self.links, self.platform)
         self.verifier = Verifier(self.state, self.links, self.platform)
         self.answerer = Answerer(self.state, self.links, self.strategy)
-        self.news = News(
+        self.intake = Intake(
             self.state, self.links, self.puller, self.answerer, self.strategy
         )
         self.pause = PauseDetector(settings.membership.pause)
@@ -74,12 +74,12 @@
             events.LinkDown: self.on_link_down,
             events.Received: self.on_received,
         }
-        self.answers: dict[type, Callable[[Link, Any, Any, float], None]] = {
+        self.answer_handlers: dict[type, Callable[[Link, Any, Any, float], None]] = {
             messages.Welcome: self.on_welcome,
             messages.BeatAnswer: self.on_beat_answer,
-            messages.HeadAnswer: self.news.on_head_answer,
-            messages.PartsAnswer: self.news.on_parts_answer,
-            messages.VmsAnswer: self.news.on_vms_answer,
+            messages.HeadAnswer: self.intake.on_head_answer,
+            messages.PartsAnswer: self.intake.on_parts_answer,
+            messages.VmsAnswer: self.intake.on_vms_answer,
         }
 
     @property
@@ -101,35 +101,35 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take one event and return what to do."""
-        self.notice_pause(now)
+        self.detect_pause(now)
         self.handlers[type(event)](event, now)
         self.puller.schedule(now)
         return self.state.take_actions()
 
     def tick(self, now: float) -> list[Action]:
         """Do what is due; to be called several times a second."""
-        self.notice_pause(now)
+        self.detect_pause(now)
         self.platform.tick(self.duty.decide(now), now)
         self.tick_links(now)
         self.puller.tick(now)
         self.catch_up.tick(now)
         self.verifier.tick(now)
         self.holder.try_install(now)
-        self.news.tell()
+        self.intake.publish_results()
         return self.state.take_actions()
 
-    def notice_pause(self, now: float) -> None:
+    def detect_pause(self, now: float) -> None:
         """Doubt everything time-bound if this process stood still."""
         if not self.pause.observe(now):
             return
-        self.verifier.wake(now)
-        self.links.give_time(now)
-        self.platform.forget()
+        self.verifier.on_resume(now)
+        self.links.extend_deadlines(now)
+        self.platform.restart_watches()
 
     def tick_links(self, now: float) -> None:
         """Close silent links, send heartbeats, open wanted links."""
         self.links.close_silent(now)
-        wanted = self.peers.wanted(self.catch_up.more_peers(), now)
+        wanted = self.peers.wanted(self.catch_up.extra_peers(), now)
         for name, vm in wanted.items():
             if not self.links.find(name) and not self.links.connecting(name):
                 self.links.open(vm, now)
@@ -144,7 +144,7 @@
         """Take a document of the platform."""
         digest = self.platform.parts.pop(event.read, None)
         if digest is not None:
-            self.news.take_part(digest, event.body, PLATFORM_SOURCE, now)
+            self.intake.take_part(digest, event.body, PLATFORM_SOURCE, now)
             return
         try:
             self.take_document(event, now)
@@ -158,13 +158,13 @@
         if event.document == HEAD_DOCUMENT:
             head = codec.decode_head(event.body)
             if self.platform.answer(event, now):
-                self.news.learn(head, PLATFORM_SOURCE, now)
+                self.intake.take_head(head, PLATFORM_SOURCE, now)
         elif event.document == VMS_DOCUMENT:
             vms = codec.decode_vms(event.body)
             taken = self.state.vms.offer(vms)
             self.platform.answer(event, now)
             if taken:
-                self.news.vms_changed(None)
+                self.intake.vms_changed(None)
 
     def on_platform_unchanged(
         self, event: events.PlatformUnchanged, now: float
@@ -181,7 +181,7 @@
             self.puller.part_failed(digest, now)
             return
         self.platform.failed(event, now)
-        self.state.alone = self.platform.vms.absent
+        self.state.no_vm_list = self.platform.vms.absent
 
     def on_link_up(self, event: events.LinkUp, now: float) -> None:
         """Say who we are on a link that we opened."""
@@ -202,12 +202,14 @@
         if link is None:
             self.state.count("message-on-closed-link")
             return
-        link.heard = now
+        link.last_received = now
         message = event.message
-        answer = self.answers.get(type(message))
+        answer = self.answer_handlers.get(type(message))
         if answer:
-            exchange = self.links.settle(link, event.number)
-            if exchange and ANSWER_TO.get(type(message)) is not type(exchange.question):
+            exchange = self.links.match_answer(link, event.number)
+            if exchange and QUESTION_OF.get(type(message)) is not type(
+                exchange.question
+            ):
                 self.links.close(link, "other-answer", now)
             elif exchange:
                 answer(link, message, exchange, now)
@@ -262,7 +264,7 @@
             delta = messages.HeadDelta(
                 status.version, status.root, changed=status.digests
             )
-            self.news.take_delta(link, delta, now)
+            self.intake.take_delta(link, delta, now)
         self.puller.consider(link, now)
 
     def on_announcement(
@@ -275,5 +277,5 @@
         revision = max(status.vms_revision, message.vms_revision)
         link.status = replace(status, vms_revision=revision)
         if message.delta and message.version > self.holder.version:
-            self.news.take_delta(link, message.delta, now)
+            self.intake.take_delta(link, message.delta, now)
         self.puller.consider(link, now)
--- a/sequoiaspoke/core/spread/duty.py
+++ b/sequoiaspoke/core/spread/duty.py
@@ -24,7 +24,7 @@
     from sequoiaspoke.core.spread.peers import PeerChooser
     from sequoiaspoke.core.spread.state import SpreadState
 
-PLACES_LIMIT = 8
+MAX_PLACES = 8
 
 
 class Duty:
@@ -33,7 +33,7 @@
     def __init__(self, state: SpreadState, peers: PeerChooser) -> None:
         self.state = state
         self.peers = peers
-        self.on = False
+        self.watching = False
         self.spare = 0
         self.take_over_at: float | None = None
 
@@ -42,44 +42,44 @@
         rank = self.state.vms.rank()
         if self.state.vms.revision == 0:
             # No list published: this node knows of no other that could watch.
-            self.on = self.state.alone
-            return self.on
+            self.watching = self.state.no_vm_list
+            return self.watching
         if rank < self.state.spread.watchers:
-            self.on, self.spare, self.take_over_at = True, 0, None
+            self.watching, self.spare, self.take_over_at = True, 0, None
             return True
-        spare = self._vacancy(now)
+        spare = self._spare_level(now)
         if spare is None:
-            return self._leave()
+            return self._stop()
         self.spare = spare
-        if self.on:
+        if self.watching:
             return True
         if self.take_over_at is None:
-            places = min(rank - self.state.spread.watchers + 1, PLACES_LIMIT)
+            places = min(rank - self.state.spread.watchers + 1, MAX_PLACES)
             wait = self.state.spread.takeover * places
             self.take_over_at = now + self.state.rng.uniform(0, wait)
         if now >= self.take_over_at:
-            self.on = True
+            self.watching = True
             self.state.count("duty-taken-over")
-        return self.on
+        return self.watching
 
-    def _vacancy(self, now: float) -> int | None:
+    def _spare_level(self, now: float) -> int | None:
         # None: enough watch. 0: some are gone. More: as many failed in a row.
-        seniors = self.peers.seniors(now)
+        predecessors = self.peers.predecessors(now)
         wanted = self.state.spread.watchers
-        if len(seniors.live) + seniors.untried < wanted:
+        if len(predecessors.live) + predecessors.unknown < wanted:
             return 0
         failing = [
             link.status.spare
-            for link in seniors.live
+            for link in predecessors.live
             if link.status.watch == WatchState.FAILING
         ]
-        if len(seniors.live) - len(failing) + seniors.untried >= wanted:
+        if len(predecessors.live) - len(failing) + predecessors.unknown >= wanted:
             return None
         spare = max(failing) + 1
         return spare if spare <= self.state.spread.spare_watchers else None
 
-    def _leave(self) -> bool:
-        if self.on:
+    def _stop(self) -> bool:
+        if self.watching:
             self.state.count("duty-handed-back")
-        self.on, self.spare, self.take_over_at = False, 0, None
+        self.watching, self.spare, self.take_over_at = False, 0, None
         return False
--- a/sequoiaspoke/core/spread/news.py
+++ b/sequoiaspoke/core/spread/intake.py
@@ -25,7 +25,7 @@
 PLATFORM_SOURCE = "platform"
 
 
-class News:
+class Intake:
     """Offers documents to the holder and tells what became of them."""
 
     def __init__(
@@ -41,8 +41,8 @@
         self.puller = puller
         self.answerer = answerer
         self.strategy = strategy
-        self.told_version = 0
-        self.told_refused = 0
+        self.announced_version = 0
+        self.announced_refused = 0
 
     def on_head_answer(
         self, link: Link, message: messages.HeadAnswer, exchange: Any, now: float
@@ -54,7 +54,7 @@
             return
         taken = self.take_delta(link, message.delta, now)
         if not taken and exchange.question.base_root:
-            self.puller.ask_whole_head(link, exchange.question, now)
+            self.puller.ask_full_head(link, exchange.question, now)
 
     def take_delta(self, link: Link, delta: messages.HeadDelta, now: float) -> bool:
         """Rebuild a head from its difference; return whether it fitted."""
@@ -68,15 +68,15 @@
         if head is None:
             self.state.count("delta-without-base")
             return False
-        self.learn(head, link.peer, now)
+        self.take_head(head, link.peer, now)
         return True
 
-    def learn(self, head: Head, source: str, now: float) -> None:
+    def take_head(self, head: Head, source: str, now: float) -> None:
         """Offer a head to the gate and gather what it needs."""
         decision = self.state.holder.offer_head(head, source, now)
         if decision.verdict is Verdict.NEW and not self.strategy.reuses_parts:
             self.state.holder.store.parts.clear()
-        self.tell()
+        self.publish_results()
 
     def on_parts_answer(
         self, link: Link, message: messages.PartsAnswer, exchange: Any, now: float
@@ -89,14 +89,14 @@
         given = {part.digest for part in message.parts}
         for digest in exchange.question.digests:
             if digest not in given:
-                self.puller.part_left_out(digest, not given, now)
+                self.puller.part_omitted(digest, not given, now)
 
     def take_part(self, digest: str, packed: bytes, source: str, now: float) -> None:
         """Offer a part to the holder."""
         if not self.state.holder.offer_part(digest, packed, now).taken:
-            self.state.count(f"part-corrupt-from-{_kind(source)}")
+            self.state.count(f"part-corrupt-from-{_source_kind(source)}")
             self.puller.part_failed(digest, now)
-        self.tell()
+        self.publish_results()
 
     def on_vms_answer(
         self, link: Link, message: messages.VmsAnswer, exchange: Any, now: float
@@ -114,27 +114,27 @@
     def vms_changed(self, source: Link | None) -> None:
         """Tell the shell and the peers of a newer VM list."""
         view = self.state.vms
-        self.state.act(events.VmsChanged(view.revision, tuple(view.vms.values())))
-        news = messages.Announcement(0, vms_revision=view.revision)
+        self.state.emit(events.VmsChanged(view.revision, tuple(view.vms.values())))
+        announcement = messages.Announcement(0, vms_revision=view.revision)
         for link in self.links.live():
             if link is not source and link.status.vms_revision < view.revision:
-                self.links.send(link, news)
+                self.links.send(link, announcement)
 
-    def tell(self) -> None:
+    def publish_results(self) -> None:
         """Tell the shell and the peers of what was installed or refused."""
         gate = self.state.holder.gate
-        if self.state.holder.version > self.told_version:
-            self.told_version = self.state.holder.version
-            source = self.state.holder.sources.get(self.told_version, "")
-            self.state.act(events.Installed(self.state.holder.current, source))
+        if self.state.holder.version > self.announced_version:
+            self.announced_version = self.state.holder.version
+            source = self.state.holder.sources.get(self.announced_version, "")
+            self.state.emit(events.Installed(self.state.holder.current, source))
             self.answerer.announce(gate.current, self.state.holder.previous)
         refused = gate.newest_refused()
-        if refused and refused.version > self.told_refused:
-            self.told_refused = refused.version
+        if refused and refused.version > self.announced_refused:
+            self.announced_refused = refused.version
             last = self.state.holder.last_refused
-            self.state.act(events.Refused(refused.version, last.source, last.reason))
+            self.state.emit(events.Refused(refused.version, last.source, last.reason))
             self.answerer.announce(refused, gate.current)
 
 
-def _kind(source: str) -> str:
+def _source_kind(source: str) -> str:
     return source if source == PLATFORM_SOURCE else "peer"
--- a/sequoiaspoke/core/spread/links.py
+++ b/sequoiaspoke/core/spread/links.py
@@ -24,11 +24,11 @@
 
 # Heartbeats an accepted link may miss before it counts as silent; one more
 # than the opener's own check needs, so that the opener notices first.
-MISSED_BEATS = 2
+ALLOWED_MISSED_BEATS = 2
 # Seconds a link that is no longer wanted stays, in case it soon is again.
-UNWANTED_KEEP = 3.0
+UNWANTED_GRACE = 3.0
 CONNECT_BURST = 16.0
-LAST_NUMBER = 1 << 30
+MAX_NUMBER = 1 << 30
 
 
 @dataclass
@@ -42,7 +42,7 @@
     status: Status = field(default_factory=Status)
     up: bool = False
     greeted: bool = False
-    heard: float = 0.0
+    last_received: float = 0.0
     beat_due: float = 0.0
     unwanted_since: float | None = None
 
@@ -51,7 +51,7 @@
         """Return whether this node opened the link."""
         return self.number > 0
 
-    def shows(self, version: int) -> bool:
+    def has_seen(self, version: int) -> bool:
         """Return whether the peer is known to have seen a version."""
         return max(self.status.version, self.status.refused_version) >= version
 
@@ -74,12 +74,12 @@
         self.greeted: dict[str, Link] = {}
         self.pending: dict[int, Exchange] = {}
         self.backoffs: dict[str, Backoff] = {}
-        self.opens = TokenBucket(state.spread.connects, CONNECT_BURST)
+        self.connect_budget = TokenBucket(state.spread.connects, CONNECT_BURST)
         self.last_number = 0
 
     def next_number(self) -> int:
         """Return a fresh number for a link or a question."""
-        self.last_number = self.last_number % LAST_NUMBER + 1
+        self.last_number = self.last_number % MAX_NUMBER + 1
         return self.last_number
 
     def live(self) -> list[Link]:
@@ -103,7 +103,7 @@
             )
         return self.backoffs[peer]
 
-    def forget_gone(self, vms: Container[str]) -> None:
+    def forget_removed(self, vms: Container[str]) -> None:
         """Drop the record of VMs that are no longer on the list.
 
         VMs are replaced under new names all day; kept, their records would
@@ -117,30 +117,30 @@
 
     def open(self, vm: Vm, now: float) -> None:
         """Connect to a node if the budget allows it now."""
-        if not self.backoff(vm.name).ready(now) or not self.opens.take(now):
+        if not self.backoff(vm.name).ready(now) or not self.connect_budget.take(now):
             return
-        link = Link(self.next_number(), vm.name, vm.zone, heard=now)
+        link = Link(self.next_number(), vm.name, vm.zone, last_received=now)
         self.links[link.number] = link
-        self.state.act(OpenLink(link.number, vm.name, vm.address, vm.peer_port))
+        self.state.emit(OpenLink(link.number, vm.name, vm.address, vm.peer_port))
 
     def up(self, number: int, now: float) -> Link | None:
         """Note that a connection stands; None if it is not taken."""
         link = self.links.get(number)
         if link is None and number > 0:
-            self.state.act(CloseLink(number, "unknown"))
+            self.state.emit(CloseLink(number, "unknown"))
             return None
         if link is None:
             link = self._accept(number)
         if link:
             link.up = True
-            link.heard = now
+            link.last_received = now
         return link
 
     def _accept(self, number: int) -> Link | None:
         accepted = sum(not link.outgoing for link in self.links.values())
         if accepted >= self.state.spread.connections:
             self.state.count("link-over-limit")
-            self.state.act(CloseLink(number, "over-limit"))
+            self.state.emit(CloseLink(number, "over-limit"))
             return None
         self.links[number] = Link(number)
         return self.links[number]
@@ -162,7 +162,7 @@
     def close(self, link: Link, reason: str, now: float) -> None:
         """Close a connection for a reason that is counted."""
         self.state.count(f"link-closed-{reason}")
-        self.state.act(CloseLink(link.number, reason))
+        self.state.emit(CloseLink(link.number, reason))
         self.down(link.number, now)
 
     def greet(self, link: Link, hello: Hello | Welcome, now: float) -> None:
@@ -189,7 +189,7 @@
 
     def send(self, link: Link, message: Message, number: int = 0) -> None:
         """Send a message that awaits no answer, or an answer."""
-        self.state.act(Send(link.number, number, message))
+        self.state.emit(Send(link.number, number, message))
 
     def ask(self, link: Link, question: Question, now: float) -> int:
         """Send a question and return its number."""
@@ -199,7 +199,7 @@
         self.send(link, question, number)
         return number
 
-    def settle(self, link: Link, number: int) -> Exchange | None:
+    def match_answer(self, link: Link, number: int) -> Exchange | None:
         """Match an answer with its question; None if nobody awaits it."""
         exchange = self.pending.get(number)
         if exchange is None or exchange.link != link.number:
@@ -208,7 +208,7 @@
         del self.pending[number]
         return exchange
 
-    def give_time(self, now: float) -> None:
+    def extend_deadlines(self, now: float) -> None:
         """Start every deadline anew after this process itself stood still."""
         deadline = now + self.state.spread.exchange
         self.pending = {
@@ -216,7 +216,7 @@
             for number, exchange in self.pending.items()
         }
         for link in self.links.values():
-            link.heard = now
+            link.last_received = now
             link.beat_due = now
 
     def close_silent(self, now: float) -> None:
@@ -226,8 +226,8 @@
         for link in list(self.links.values()):
             limit = spread.exchange
             if link.greeted:
-                limit += MISSED_BEATS * spread.beat
-            if link.number in late or now - link.heard > limit:
+                limit += ALLOWED_MISSED_BEATS * spread.beat
+            if link.number in late or now - link.last_received > limit:
                 self.close(link, "silent", now)
 
     def close_unwanted(self, wanted: Iterable[str], now: float) -> None:
@@ -239,6 +239,6 @@
                 continue
             if link.unwanted_since is None:
                 link.unwanted_since = now
-            if now - link.unwanted_since >= UNWANTED_KEEP:
+            if now - link.unwanted_since >= UNWANTED_GRACE:
                 self.close(link, "unwanted", now)
                 self.backoff(link.peer).succeed()
--- a/sequoiaspoke/core/spread/peers.py
+++ b/sequoiaspoke/core/spread/peers.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Seniors:
+class Predecessors:
     """The nearest nodes before this one in the watch order.
 
     Attributes
@@ -37,7 +37,7 @@
     """
 
     live: tuple[Link, ...]
-    untried: int
+    unknown: int
     wanted: tuple[str, ...]
 
 
@@ -48,39 +48,39 @@
         self.state = state
         self.links = links
         self.revision = -1
-        self.near: list[str] = []
-        self.far: list[str] = []
-        self.places: dict[str, bytes] = {}  # by VM; the list changes all day
+        self.own_zone: list[str] = []
+        self.other_zones: list[str] = []
+        self.hashes: dict[str, bytes] = {}  # by VM; the list changes all day
 
-    def wanted(self, more: int, now: float) -> dict[str, Vm]:
+    def wanted(self, extra: int, now: float) -> dict[str, Vm]:
         """Return the VMs to hold a link to; `more` in each direction."""
         self._reorder()
         spread = self.state.spread
-        names = list(self.seniors(now).wanted)
+        names = list(self.predecessors(now).wanted)
         chosen = set(names)
-        near = (name for name in self.near if name not in chosen)
-        names += self._pick(near, spread.zone_peers + more, now)
-        names += self._pick(self.far, spread.cross_zone_peers + more, now)
+        own_zone = (name for name in self.own_zone if name not in chosen)
+        names += self._pick(own_zone, spread.zone_peers + extra, now)
+        names += self._pick(self.other_zones, spread.cross_zone_peers + extra, now)
         vms = self.state.vms.vms
         return {name: vms[name] for name in names if name in vms}
 
-    def seniors(self, now: float) -> Seniors:
+    def predecessors(self, now: float) -> Predecessors:
         """Walk up the watch order until enough nodes answer."""
         live: list[Link] = []
         wanted = []
-        untried = 0
+        unknown = 0
         for name in self.state.vms.seniors():
-            if len(live) + untried >= self.state.spread.watchers:
+            if len(live) + unknown >= self.state.spread.watchers:
                 break
             link = self.links.find(name)
             if link:
                 live.append(link)
             elif not self.links.failed(name):
-                untried += 1
-            elif not self._try_again(name, now):
+                unknown += 1
+            elif not self._may_retry(name, now):
                 continue
             wanted.append(name)
-        return Seniors(tuple(live), untried, tuple(wanted))
+        return Predecessors(tuple(live), unknown, tuple(wanted))
 
     def _pick(self, order: Iterable[str], count: int, now: float) -> list[str]:
         picked = []
@@ -89,12 +89,12 @@
                 break
             if self.links.find(name) or not self.links.failed(name):
                 count -= 1
-            elif not self._try_again(name, now):
+            elif not self._may_retry(name, now):
                 continue
             picked.append(name)
         return picked
 
-    def _try_again(self, name: str, now: float) -> bool:
+    def _may_retry(self, name: str, now: float) -> bool:
         return self.links.connecting(name) or self.links.backoff(name).ready(now)
 
     def _reorder(self) -> None:
@@ -102,11 +102,11 @@
         if view.revision == self.revision:
             return
         self.revision = view.revision
-        self._place()
-        self.near = [vm.name for vm in self._by_hash(view.others(own_zone=True))]
-        self.far = self._far(view.others(own_zone=False))
+        self._update_hashes()
+        self.own_zone = [vm.name for vm in self._by_hash(view.others(own_zone=True))]
+        self.other_zones = self._order_other_zones(view.others(own_zone=False))
 
-    def _far(self, vms: list[Vm]) -> list[str]:
+    def _order_other_zones(self, vms: list[Vm]) -> list[str]:
         # The best of each other zone first, so that two links reach two zones.
         # By hash alone, zones of one node could end up linked in separate pairs
         # and, without the platform, never hear of each other. So every other
@@ -123,12 +123,12 @@
 
     def _by_hash(self, vms: list[Vm]) -> list[Vm]:
         live = [vm for vm in vms if vm.state is VmState.LIVE]
-        return sorted(live, key=lambda vm: self.places[vm.name])
+        return sorted(live, key=lambda vm: self.hashes[vm.name])
 
-    def _place(self) -> None:
+    def _update_hashes(self) -> None:
         own = self.state.identity.name
-        self.links.forget_gone(self.state.vms.vms)
-        known = self.places
-        self.places = {
+        self.links.forget_removed(self.state.vms.vms)
+        known = self.hashes
+        self.hashes = {
             name: known.get(name) or rank_key(own, name) for name in self.state.vms.vms
         }
--- a/sequoiaspoke/core/spread/platform.py
+++ b/sequoiaspoke/core/spread/platform.py
@@ -26,7 +26,7 @@
 # One refused read is everyday business; a second in a row means an outage.
 FAILING_AFTER = 2
 # Heads a second that a starting fleet may read; half of the platform's rate.
-START_HEADS = 1000.0
+START_HEAD_READS = 1000.0
 
 
 @dataclass
@@ -38,8 +38,8 @@
     backoff: Backoff
     revision: int = -1
     read: int | None = None
-    overdue: float = 0.0
-    due: float = 0.0
+    timeout_at: float = 0.0
+    due_at: float = 0.0
     answered: bool = False
     absent: bool = False
 
@@ -52,7 +52,7 @@
         spread = state.spread
         self.head = self._document(HEAD_DOCUMENT, spread.head_wait)
         self.vms = self._document(VMS_DOCUMENT, spread.vms_wait)
-        self.bucket = TokenBucket(spread.reads)
+        self.read_budget = TokenBucket(spread.reads)
         self.on_duty = False
         self.last_read = 0
         self.parts: dict[int, str] = {}
@@ -72,8 +72,8 @@
         """Choose when to read for the first time."""
         self.started = True
         jitter = self.state.rng.uniform(0, self.state.spread.start_jitter)
-        self.vms.due = now + jitter
-        self.head.due = now + jitter
+        self.vms.due_at = now + jitter
+        self.head.due_at = now + jitter
 
     def watch_state(self) -> WatchState:
         """Return what to tell peers of this node's watch."""
@@ -93,10 +93,10 @@
             self._tick_document(document, now)
 
     def _tick_document(self, document: Document, now: float) -> None:
-        if document.read is not None and now >= document.overdue:
-            self.state.act(CancelRead(document.read))
+        if document.read is not None and now >= document.timeout_at:
+            self.state.emit(CancelRead(document.read))
             self.failed(PlatformFailed(document.read, document.name), now)
-        if document.read is not None or now < document.due:
+        if document.read is not None or now < document.due_at:
             return
         if (document.answered or document.absent) and not self.on_duty:
             return
@@ -105,7 +105,7 @@
         known = self.vms.answered or self.vms.absent
         if document is self.head and not known and not self.on_duty:
             return
-        if document.backoff.ready(now) and self.bucket.take(now):
+        if document.backoff.ready(now) and self.read_budget.take(now):
             self._read(document, now)
 
     def _read(self, document: Document, now: float) -> None:
@@ -114,24 +114,24 @@
         wait = document.wait if watching else 0.0
         after = max(document.revision, 0) if watching else -1
         document.read = self._next_read()
-        document.overdue = now + wait + self.state.spread.exchange
+        document.timeout_at = now + wait + self.state.spread.exchange
         self.state.count(f"platform-read-{document.name}")
-        self.state.act(ReadPlatform(document.read, document.name, after, wait))
+        self.state.emit(ReadPlatform(document.read, document.name, after, wait))
 
     def read_part(self, digest: str, now: float) -> int | None:
         """Read a part; None if the budget is spent."""
-        if not self.bucket.take(now):
+        if not self.read_budget.take(now):
             self.state.count("platform-read-over-budget")
             return None
         read = self._next_read()
         self.parts[read] = digest
         self.state.count("platform-read-part")
-        self.state.act(ReadPlatform(read, PART_PREFIX + digest))
+        self.state.emit(ReadPlatform(read, PART_PREFIX + digest))
         return read
 
     def answer(self, event: PlatformAnswered, now: float) -> bool:
         """Note an answer; return whether it was awaited."""
-        document = self._settle(event.read)
+        document = self._complete(event.read)
         if document is None:
             return False
         document.revision = event.revision
@@ -139,12 +139,12 @@
         document.answered = True
         document.absent = False
         if first and document is self.vms:
-            self._spread_heads(now)
+            self._spread_head_reads(now)
         return True
 
     def unchanged(self, event: PlatformUnchanged) -> bool:
         """Note a watch that ended without news."""
-        return self._settle(event.read) is not None
+        return self._complete(event.read) is not None
 
     def failed(self, event: PlatformFailed, now: float) -> bool:
         """Note a failure; return whether the read was awaited."""
@@ -163,7 +163,7 @@
         self.state.count(f"platform-failed-{document.name}")
         return True
 
-    def forget(self) -> None:
+    def restart_watches(self) -> None:
         """Give up every watch after this process stood still, and read afresh."""
         if not self.on_duty:
             return
@@ -171,21 +171,21 @@
         for document in (self.vms, self.head):
             document.revision = -1
             document.answered = False
-            document.due = 0.0
+            document.due_at = 0.0
 
     def _stop_watching(self) -> None:
         for document in (self.vms, self.head):
             if document.read is not None:
-                self.state.act(CancelRead(document.read))
+                self.state.emit(CancelRead(document.read))
                 document.read = None
 
-    def _spread_heads(self, now: float) -> None:
+    def _spread_head_reads(self, now: float) -> None:
         if self.on_duty:
             return
-        window = len(self.state.vms.vms) / START_HEADS
-        self.head.due = now + self.state.rng.uniform(0, window)
+        window = len(self.state.vms.vms) / START_HEAD_READS
+        self.head.due_at = now + self.state.rng.uniform(0, window)
 
-    def _settle(self, read: int) -> Document | None:
+    def _complete(self, read: int) -> Document | None:
         document = self._find(read)
         if document:
             document.read = None
--- a/sequoiaspoke/core/spread/pull.py
+++ b/sequoiaspoke/core/spread/pull.py
@@ -71,7 +71,7 @@
         question = HeadQuestion(version, root, base)
         self.heads[version] = self.links.ask(link, question, now)
 
-    def ask_whole_head(self, link: Link, question: HeadQuestion, now: float) -> None:
+    def ask_full_head(self, link: Link, question: HeadQuestion, now: float) -> None:
         """Ask again without a base, where the difference did not fit."""
         whole = HeadQuestion(question.version, question.root)
         self.heads[question.version] = self.links.ask(link, whole, now)
@@ -98,22 +98,22 @@
         missing = self.state.holder.missing()
         if not missing and not self.fetches:
             return
-        self._match(missing, now)
+        self._update_fetches(missing, now)
         asked: dict[int, list[str]] = defaultdict(list)
-        busy = self._busy()
+        in_flight = self._questions_in_flight()
         for digest in missing:
             fetch = self.fetches[digest]
             if fetch.source is not None or not fetch.backoff.ready(now):
                 continue
-            source = self._choose(digest, fetch, asked, busy, now)
+            source = self._choose_source(digest, fetch, asked, in_flight, now)
             if source == PLATFORM:
-                self._read_platform(digest, fetch, busy, now)
+                self._read_platform(digest, fetch, in_flight, now)
             elif source is not None:
                 asked[source].append(digest)
         for source, digests in asked.items():
             self._ask(self.links.links[source], digests, now)
 
-    def _match(self, missing: tuple[str, ...], now: float) -> None:
+    def _update_fetches(self, missing: tuple[str, ...], now: float) -> None:
         known = self.fetches
         spread = self.state.spread
         self.fetches = {
@@ -126,19 +126,19 @@
             if gone:
                 self.failed(fetch, now)
 
-    def _busy(self) -> dict[int, int]:
+    def _questions_in_flight(self) -> dict[int, int]:
         numbers: dict[int, set[int]] = defaultdict(set)
         for fetch in self.fetches.values():
             if fetch.source is not None:
                 numbers[fetch.source].add(fetch.number)
         return {source: len(some) for source, some in numbers.items()}
 
-    def _choose(
+    def _choose_source(
         self,
         digest: str,
         fetch: Fetch,
         asked: dict[int, list[str]],
-        busy: dict[int, int],
+        in_flight: dict[int, int],
         now: float,
     ) -> int | None:
         holders = self._holders(digest)
@@ -146,7 +146,7 @@
         free = [
             link.number
             for link in untried
-            if busy.get(link.number, 0) < QUESTIONS_PER_LINK
+            if in_flight.get(link.number, 0) < QUESTIONS_PER_LINK
             and len(asked[link.number]) < PARTS_PER_QUESTION
         ]
         if free:
@@ -166,7 +166,7 @@
     def _holders(self, digest: str) -> list[Link]:
         candidates = self.state.holder.gate.newest_candidates()
         wanted = [one for one in candidates if digest in one.head.parts.values()]
-        return [link for link in self.links.live() if _has(link, wanted)]
+        return [link for link in self.links.live() if _shows_any(link, wanted)]
 
     def _ask(self, link: Link, digests: list[str], now: float) -> None:
         number = self.links.ask(link, PartsQuestion(tuple(digests)), now)
@@ -175,14 +175,14 @@
             self.fetches[digest].number = number
 
     def _read_platform(
-        self, digest: str, fetch: Fetch, busy: dict[int, int], now: float
+        self, digest: str, fetch: Fetch, in_flight: dict[int, int], now: float
     ) -> None:
-        if busy.get(PLATFORM, 0) >= PLATFORM_READS:
+        if in_flight.get(PLATFORM, 0) >= PLATFORM_READS:
             return
         read = self.platform.read_part(digest, now)
         if read is not None:
             fetch.source, fetch.number = PLATFORM, read
-            busy[PLATFORM] = busy.get(PLATFORM, 0) + 1
+            in_flight[PLATFORM] = in_flight.get(PLATFORM, 0) + 1
 
     def failed(self, fetch: Fetch, now: float) -> None:
         """Note that a source did not give a part."""
@@ -193,14 +193,14 @@
         fetch.backoff.failures += 1
         fetch.backoff.until = now
 
-    def part_left_out(self, digest: str, nothing: bool, now: float) -> None:
+    def part_omitted(self, digest: str, empty_answer: bool, now: float) -> None:
         """Note that an answer did not bring a part.
 
         Where it brought others the part may just not have fitted, and the same
         peer may be asked again.
         """
         fetch = self.fetches.get(digest)
-        if fetch and nothing:
+        if fetch and empty_answer:
             self.failed(fetch, now)
         elif fetch:
             fetch.source = None
@@ -212,7 +212,7 @@
             self.failed(fetch, now)
 
 
-def _has(link: Link, versions: list[Known]) -> bool:
+def _shows_any(link: Link, versions: list[Known]) -> bool:
     status = link.status
     shown = {status.root, status.refused_root}
     return any(one.root in shown for one in versions)
--- a/sequoiaspoke/core/spread/startup.py
+++ b/sequoiaspoke/core/spread/startup.py
@@ -21,10 +21,10 @@
 
 # Times the wait after which parts of the newest version heard of, which still
 # have not come, no longer hold back an older one that is whole.
-PARTS_WAITS = 2.0
+PARTS_WAIT_FACTOR = 2.0
 # In each direction: with half of the fleet fresh, one node in two million finds
 # none of the others among the five usual and sixteen more.
-MORE_PEERS = 8
+MAX_EXTRA_PEERS = 8
 
 
 class CatchUp:
@@ -36,8 +36,8 @@
         self.state = state
         self.links = links
         self.platform = platform
-        self.heard: dict[str, bool] = {}
-        self.since: float | None = None
+        self.holds_version: dict[str, bool] = {}
+        self.waiting_since: float | None = None
         self.peers_known = False
         state.holder.hold = True
 
@@ -46,7 +46,7 @@
         """Return whether installs are let through."""
         return not self.state.holder.hold
 
-    def more_peers(self) -> int:
+    def extra_peers(self) -> int:
         """Return how many peers to ask beyond the usual few.
 
         The usual links may be fewer than the peers to hear, and after a herd died
@@ -56,9 +56,9 @@
         """
         if self.done:
             return 0
-        told = sum(self.heard.values())
-        lacking = max(0, self.state.spread.catch_up_peers - told)
-        return min(lacking + len(self.heard) - told, MORE_PEERS)
+        holding = sum(self.holds_version.values())
+        lacking = max(0, self.state.spread.catch_up_peers - holding)
+        return min(lacking + len(self.holds_version) - holding, MAX_EXTRA_PEERS)
 
     def tick(self, now: float) -> None:
         """Let installs through once enough was heard."""
@@ -67,38 +67,40 @@
         # Peers can be asked only once the VM list is there; the wait for them
         # begins then, or at the start where the platform gives no list.
         found = not self.peers_known and self.state.vms.revision > 0
-        if self.since is None or found:
-            self.since = now
+        if self.waiting_since is None or found:
+            self.waiting_since = now
         self.peers_known = self.state.vms.revision > 0
-        self._listen()
-        if self._enough(now):
+        self._note_peers()
+        if self._heard_enough(now):
             self.state.holder.hold = False
             self.state.count("catch-up-done")
 
-    def _listen(self) -> None:
+    def _note_peers(self) -> None:
         for link in self.links.live():
             holds = link.status.version > 0
-            self.heard[link.peer] = holds or self.heard.get(link.peer, False)
+            self.holds_version[link.peer] = holds or self.holds_version.get(
+                link.peer, False
+            )
 
-    def _enough(self, now: float) -> bool:
+    def _heard_enough(self, now: float) -> bool:
         spread = self.state.spread
-        waited = now - (self.since or now)
-        told = sum(self.heard.values())
+        waited = now - (self.waiting_since or now)
+        holding = sum(self.holds_version.values())
         if waited >= spread.catch_up_wait:
-            whole = self._newest_is_whole() or (
-                waited >= spread.catch_up_wait * PARTS_WAITS
+            complete = self._newest_is_complete() or (
+                waited >= spread.catch_up_wait * PARTS_WAIT_FACTOR
             )
-            return whole and (told > 0 or self.platform.answered)
-        if not self.platform.answered or not self._newest_is_whole():
+            return complete and (holding > 0 or self.platform.answered)
+        if not self.platform.answered or not self._newest_is_complete():
             return False
         others = sum(name != self.state.identity.name for name in self.state.vms.vms)
-        return told >= min(spread.catch_up_peers, others) or self._all_heard(others)
+        return holding >= min(spread.catch_up_peers, others) or self._all_heard(others)
 
     def _all_heard(self, others: int) -> bool:
         # A small fleet that starts at once: everybody answered, none has more.
-        return len(self.heard) >= others
+        return len(self.holds_version) >= others
 
-    def _newest_is_whole(self) -> bool:
+    def _newest_is_complete(self) -> bool:
         # A peer's newer version counts from when the peer shows it, not from
         # when its head has come: the platform's older one may be whole by then.
         shown = max((link.status.version for link in self.links.live()), default=0)
--- a/sequoiaspoke/core/spread/state.py
+++ b/sequoiaspoke/core/spread/state.py
@@ -39,9 +39,9 @@
         self.vms = VmView(identity.name, identity.zone)
         self.counters: Counter[str] = Counter()
         self.actions: list[Action] = []
-        self.alone = False  # the platform says that it has no VM list
+        self.no_vm_list = False  # the platform says that it has no VM list
 
-    def act(self, action: Action) -> None:
+    def emit(self, action: Action) -> None:
         """Decide on an action; the shell carries it out."""
         self.actions.append(action)
 
--- a/sequoiaspoke/core/spread/strategy.py
+++ b/sequoiaspoke/core/spread/strategy.py
@@ -34,10 +34,10 @@
     reuses_parts = True
 
     @abstractmethod
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
         """Return what an announcement says of the head itself."""
 
-    def summary(self, current: Known | None) -> dict[str, str]:
+    def heartbeat_digests(self, current: Known | None) -> dict[str, str]:
         """Return the digests that every heartbeat carries beside the root's."""
         del current
         return {}
@@ -46,7 +46,7 @@
 class RootThenParts(Strategy):
     """Compare one digest; descend to heads and parts only where it differs."""
 
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
         """Tell the difference while it is small."""
         if base is None:
             return None
@@ -58,7 +58,7 @@
 class FlatDigests(RootThenParts):
     """Compare the digests of all parts with every heartbeat."""
 
-    def summary(self, current: Known | None) -> dict[str, str]:
+    def heartbeat_digests(self, current: Known | None) -> dict[str, str]:
         """Return the digest of every part."""
         return dict(current.head.parts) if current else {}
 
@@ -68,7 +68,7 @@
 
     reuses_parts = False
 
-    def announced(self, target: Known, base: Known | None) -> HeadDelta | None:
+    def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
         """Tell the whole head."""
         del base
         return difference(target, None)
--- a/sequoiaspoke/core/spread/verify.py
+++ b/sequoiaspoke/core/spread/verify.py
@@ -27,36 +27,36 @@
         self.links = links
         self.platform = platform
         self.settings = state.settings.membership
-        self.woke_at: float | None = None
+        self.resumed_at: float | None = None
         self.confirmed: set[str] = set()
 
     @property
     def verified(self) -> bool:
         """Return whether the version in force may decide calls."""
-        return self.woke_at is None and self.state.holder.current is not None
+        return self.resumed_at is None and self.state.holder.current is not None
 
-    def wake(self, now: float) -> None:
+    def on_resume(self, now: float) -> None:
         """Doubt the view after a pause that ends now."""
         self.state.count("pause-detected")
         if self.state.holder.current is None:
             return
-        self.woke_at = now
+        self.resumed_at = now
         self.confirmed = set()
 
     def confirm(self, link: Link, asked_at: float) -> None:
         """Note a peer's answer to a question sent after the wake."""
-        if self.woke_at is not None and asked_at >= self.woke_at:
+        if self.resumed_at is not None and asked_at >= self.resumed_at:
             self.confirmed.add(link.peer)
 
     def tick(self, now: float) -> None:
         """Trust the view again once it is confirmed or the wait is over."""
-        if self.woke_at is None:
+        if self.resumed_at is None:
             return
-        waited = now - self.woke_at
+        waited = now - self.resumed_at
         if self._behind() and waited < self.settings.verify_cap:
             return
         if self._confirmed() or waited >= self.settings.verify_wait:
-            self.woke_at = None
+            self.resumed_at = None
             self.state.count("view-verified")
 
     def _confirmed(self) -> bool:
--- a/sequoiaspoke/tests/fleet.py
+++ b/sequoiaspoke/tests/fleet.py
@@ -60,7 +60,7 @@
         self.settings = replace(Settings(), spread=SpreadSettings(**spread))
         self.now = 0.0
         self.queue = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.accepted = itertools.count(-1, -1)
         self.nodes = {}
         self.documents = {}
@@ -70,8 +70,8 @@
         self.bytes = Counter()
         self.platform_up = True
         self.cuts = set()  # pairs of zones or names; "platform" may be one
-        self.loss = 0.0
-        self.doubled = 0.0
+        self.loss_rate = 0.0
+        self.duplicate_rate = 0.0
         self.delay = 0.01
         self.corrupt = set()  # names whose part answers are corrupted
         self.on_step = lambda: None
@@ -81,19 +81,21 @@
         for name in self.zones:
             self.start(name)
 
-    def at(self, delay, call, *values):
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), call, values))
+    def schedule(self, delay, call, *values):
+        heapq.heappush(
+            self.queue, (self.now + delay, next(self.sequence), call, values)
+        )
 
     def start(self, name):
         incarnation = self.rng.getrandbits(32)
         identity = Identity(name, self.zones[name], incarnation)
         core = SpreadCore(self.settings, identity, random.Random(incarnation))
         self.nodes[name] = Node(name, self.zones[name], core, incarnation)
-        self.at(self.rng.uniform(0, TICK), self.tick, name, incarnation)
+        self.schedule(self.rng.uniform(0, TICK), self.tick, name, incarnation)
 
     def stop(self, name):
         for link in list(self.nodes[name].ends):
-            self.hang_up(self.nodes[name], link)
+            self.close_link(self.nodes[name], link)
         del self.nodes[name]
 
     def put(self, name, body):
@@ -109,7 +111,7 @@
         for name, body in made.documents().items():
             self.put(name, body)
 
-    def apart(self, one, other):
+    def is_cut(self, one, other):
         zones = [self.zones.get(name, name) for name in (one, other)]
         pairs = itertools.product((one, zones[0]), (other, zones[1]))
         return any(frozenset(pair) in self.cuts for pair in pairs)
@@ -126,7 +128,7 @@
         node = self.nodes.get(name)
         if node is None or node.incarnation != incarnation:
             return
-        self.at(TICK, self.tick, name, incarnation)
+        self.schedule(TICK, self.tick, name, incarnation)
         if node.paused:
             return
         for event in node.inbox:
@@ -143,8 +145,8 @@
             return
         self.carry_out(node, node.core.handle(event, self.now))
 
-    def tell(self, node, event, delay):
-        self.at(delay, self.deliver, node.name, node.incarnation, event)
+    def schedule_event(self, node, event, delay):
+        self.schedule(delay, self.deliver, node.name, node.incarnation, event)
 
     def carry_out(self, node, actions):
         for action in actions:
@@ -156,7 +158,7 @@
                 case events.OpenLink():
                     self.open(node, action)
                 case events.CloseLink():
-                    self.hang_up(node, action.link)
+                    self.close_link(node, action.link)
                 case events.Send():
                     self.send(node, action)
                 case events.Installed():
@@ -167,26 +169,26 @@
             self.reads.append(self.now)
         failed = events.PlatformFailed(action.read, action.document)
         document = self.documents.get(action.document)
-        if self.apart(node.name, "platform"):
-            self.tell(node, failed, TIMEOUT)
+        if self.is_cut(node.name, "platform"):
+            self.schedule_event(node, failed, TIMEOUT)
         elif not self.platform_up or (document is None and not action.wait):
             absent = replace(failed, absent=self.platform_up)
-            self.tell(node, absent, self.delay)
+            self.schedule_event(node, absent, self.delay)
         elif document and document.revision > action.after:
             body, revision = document.body, document.revision
             name = action.document
             answer = events.PlatformAnswered(action.read, name, revision, body)
-            self.tell(node, answer, self.rng.uniform(0, self.delay))
+            self.schedule_event(node, answer, self.rng.uniform(0, self.delay))
         else:
             self.waiting.append((node, action))
         if counted and self.waiting and self.waiting[-1][1] is action:
             unchanged = events.PlatformUnchanged(action.read, action.document)
-            self.at(action.wait, self.end_watch, node, action, unchanged)
+            self.schedule(action.wait, self.end_watch, node, action, unchanged)
 
     def end_watch(self, node, action, event):
         if any(waiting[1] is action for waiting in self.waiting):
             self.waiting = [w for w in self.waiting if w[1] is not action]
-            self.tell(node, event, 0)
+            self.schedule_event(node, event, 0)
 
     def outage(self, up):
         self.platform_up = up
@@ -197,35 +199,37 @@
     def open(self, node, action):
         peer = self.nodes.get(action.peer)
         if peer is None:
-            self.tell(node, events.LinkDown(action.link), self.delay)
-        elif self.apart(node.name, action.peer):
-            self.tell(node, events.LinkDown(action.link), TIMEOUT)
+            self.schedule_event(node, events.LinkDown(action.link), self.delay)
+        elif self.is_cut(node.name, action.peer):
+            self.schedule_event(node, events.LinkDown(action.link), TIMEOUT)
         else:
             other = next(self.accepted)
             node.ends[action.link] = (peer.name, other, peer.incarnation)
             peer.ends[other] = (node.name, action.link, node.incarnation)
-            self.tell(peer, events.LinkUp(other), self.delay)
-            self.tell(node, events.LinkUp(action.link), self.delay)
+            self.schedule_event(peer, events.LinkUp(other), self.delay)
+            self.schedule_event(node, events.LinkUp(action.link), self.delay)
 
-    def hang_up(self, node, link):
+    def close_link(self, node, link):
         end = node.ends.pop(link, None)
         peer = self.nodes.get(end[0]) if end else None
-        if peer and peer.incarnation == end[2] and not self.apart(node.name, end[0]):
+        if peer and peer.incarnation == end[2] and not self.is_cut(node.name, end[0]):
             peer.ends.pop(end[1], None)
-            self.tell(peer, events.LinkDown(end[1]), self.delay)
+            self.schedule_event(peer, events.LinkDown(end[1]), self.delay)
 
     def send(self, node, action):
         payload = encode_message(action.number, action.message)
         self.bytes[node.name] += len(payload) + 4
         end = node.ends.get(action.link)
-        if end is None or self.apart(node.name, end[0]):
+        if end is None or self.is_cut(node.name, end[0]):
             return
-        for _ in range(1 + (self.rng.random() < self.doubled)):
-            if self.rng.random() >= self.loss:
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+            if self.rng.random() >= self.loss_rate:
                 delay = self.rng.uniform(0, self.delay)
-                self.at(delay, self.arrive, end, payload, node.name in self.corrupt)
+                self.schedule(
+                    delay, self.deliver_message, end, payload, node.name in self.corrupt
+                )
 
-    def arrive(self, end, payload, corrupt):
+    def deliver_message(self, end, payload, corrupt):
         number, message = decode_message(payload)
         parts = getattr(message, "parts", None)
         if corrupt and parts:
--- a/sequoiaspoke/tests/test_idempotency_property.py
+++ b/sequoiaspoke/tests/test_idempotency_property.py
@@ -148,7 +148,7 @@
         self.world.held_from.add(self.vm(number))
 
     @rule(index=st.integers(0, 39), loses=st.booleans())
-    def disorder(self, index: int, loses: bool) -> None:
+    def duplicate_or_lose(self, index: int, loses: bool) -> None:
         self.world.duplicate(index)
         if loses:
             self.world.drop_in_flight()
--- a/sequoiaspoke/tests/test_spread.py
+++ b/sequoiaspoke/tests/test_spread.py
@@ -13,7 +13,7 @@
     from sequoiaspoke.core.spread.core import SpreadCore
 
 ZONES = {"akaki": 5, "bole": 5, "kality": 5}
-SOON = 2.0  # seconds in which an accepted version is in force everywhere
+CONVERGENCE = 2.0  # seconds in which an accepted version is in force everywhere
 
 
 class SpreadTestCase(TestCase):
@@ -38,7 +38,7 @@
         )
 
 
-class CrossingTests(SpreadTestCase):
+class ReorderingTests(SpreadTestCase):
     """Announcements and parts of several versions overtake each other.
 
     A node that installed them in the order of arrival would go back to rules
@@ -47,7 +47,7 @@
 
     def test_the_newest_wins_at_every_node(self):
         fleet = self.fleet()
-        fleet.delay, fleet.doubled = 0.4, 0.3
+        fleet.delay, fleet.duplicate_rate = 0.4, 0.3
         for version in range(2, 8):
             fleet.publish(version)
             fleet.run(0.3)
@@ -57,7 +57,7 @@
     def test_a_second_content_under_one_version_is_refused_and_counted(self):
         fleet = self.fleet()
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         fleet.publish(2, made=publication(2, route="booking"))
         fleet.run(5)
         roots = {node.core.holder.gate.current.root for node in fleet.nodes.values()}
@@ -78,17 +78,17 @@
     def test_restarted_nodes_start_with_the_fleets_version(self):
         fleet = self.fleet(version=5)
         fleet.publish(3)
-        herd = list(fleet.nodes)[::2]
-        for name in herd:
+        restarted = list(fleet.nodes)[::2]
+        for name in restarted:
             fleet.stop(name)
-        for name in herd:
+        for name in restarted:
             fleet.start(name)
         fleet.run(8)
-        firsts = {fleet.nodes[name].versions[0] for name in herd}
+        firsts = {fleet.nodes[name].versions[0] for name in restarted}
         self.assertEqual({5}, firsts)
         self.assertEqual({5}, fleet.at_version())
 
-    def test_the_peers_to_hear_are_linked_to_and_not_waited_for(self):
+    def test_links_to_enough_peers_instead_of_waiting(self):
         zones = {"akaki": 2, "bole": 1, "kality": 1}
         fleet = self.fleet(zones, catch_up_wait=7.0)
         for name in list(fleet.nodes):
@@ -97,7 +97,7 @@
             fleet.run(4)
             self.assertEqual({1}, fleet.at_version(), name)
 
-    def test_a_fleet_that_lost_everything_serves_what_the_platform_has(self):
+    def test_a_restarted_fleet_serves_the_platforms_version(self):
         fleet = self.fleet(version=5)
         fleet.publish(3)
         for name in list(fleet.nodes):
@@ -107,7 +107,7 @@
         fleet.run(8)
         self.assertEqual({3}, fleet.at_version())
         fleet.publish(6)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({6}, fleet.at_version())
 
 
@@ -118,7 +118,7 @@
     overloaded; versions would take minutes where a stream cannot wait.
     """
 
-    def test_peers_go_on_and_the_return_is_no_stampede(self):
+    def test_peers_go_on_and_the_platforms_return_causes_no_read_spike(self):
         fleet = self.fleet({"akaki": 30, "bole": 30})
         fleet.outage(up=False)
         fleet.run(120)
@@ -139,7 +139,7 @@
         fleet.run(30)
         self.assertThat(len(fleet.reads) / 30, LessThan(2.0))
 
-    def test_revisions_counted_anew_after_the_return_are_followed(self):
+    def test_revisions_restarted_after_the_return_are_followed(self):
         fleet = self.fleet()
         fleet.outage(up=False)
         for document in fleet.documents.values():
@@ -148,11 +148,11 @@
         fleet.outage(up=True)
         fleet.run(25)
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
 
 
-class CutTests(SpreadTestCase):
+class PartitionTests(SpreadTestCase):
     """A zone is cut off; versions are accepted just before, during and after.
 
     Without merging, its nodes would enforce an old version for good, or worse,
@@ -185,15 +185,15 @@
         fleet.cuts = {frozenset(("platform", name)) for name in cut_off}
         fleet.run(12)
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
 
-    def test_a_zone_without_the_platform_is_told_by_the_others(self):
+    def test_a_zone_without_the_platform_gets_versions_from_others(self):
         fleet = self.fleet()
         fleet.cuts = {frozenset(("bole", "platform"))}
         fleet.run(30)
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
         self.assertThat(len(self.watchers(fleet, "bole")), LessThan(5))
 
@@ -205,39 +205,39 @@
     not serve the rules that it believes current.
     """
 
-    def test_a_woken_watcher_verifies_before_it_serves(self):
+    def test_a_resumed_watcher_verifies_before_it_serves(self):
         fleet = self.fleet(seed=3)
         watchers = self.watchers(fleet, "akaki")
         self.assertEqual(2, len(watchers))
-        sleeper = fleet.nodes[watchers[0]]
-        sleeper.paused = True
+        paused_node = fleet.nodes[watchers[0]]
+        paused_node.paused = True
         fleet.run(15)
-        others = set(self.watchers(fleet, "akaki")) - {sleeper.name}
+        others = set(self.watchers(fleet, "akaki")) - {paused_node.name}
         self.assertThat(len(others), GreaterThan(1))
         fleet.publish(2)
-        fleet.run(SOON)
-        self.assertFalse(sleeper.core.verified(fleet.now))
-        sleeper.paused = False
+        fleet.run(CONVERGENCE)
+        self.assertFalse(paused_node.core.verified(fleet.now))
+        paused_node.paused = False
         fleet.run(0.25)
-        while not sleeper.core.verified(fleet.now):
+        while not paused_node.core.verified(fleet.now):
             fleet.run(0.01)
-        self.assertEqual(2, sleeper.core.holder.version)
+        self.assertEqual(2, paused_node.core.holder.version)
         fleet.run(30)
         self.assertEqual({2}, fleet.at_version())
         self.assertEqual(watchers, self.watchers(fleet, "akaki"))
 
     def test_an_isolated_node_serves_again_after_a_bounded_wait(self):
         fleet = self.fleet()
-        sleeper = fleet.nodes["bole-1"]
-        sleeper.paused = True
+        paused_node = fleet.nodes["bole-1"]
+        paused_node.paused = True
         others = [name for name in fleet.zones if name != "bole-1"]
         fleet.cuts = {frozenset(("bole-1", name)) for name in (*others, "platform")}
         fleet.run(10)
-        sleeper.paused = False
+        paused_node.paused = False
         fleet.run(0.5)
-        self.assertFalse(sleeper.core.verified(fleet.now))
+        self.assertFalse(paused_node.core.verified(fleet.now))
         fleet.run(3)
-        self.assertTrue(sleeper.core.verified(fleet.now))
+        self.assertTrue(paused_node.core.verified(fleet.now))
 
 
 class SilentLinkTests(SpreadTestCase):
@@ -254,31 +254,33 @@
                 node.ends[link] = ("nobody", 0, 0)
         fleet.run(15)
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
         closed = fleet.nodes["akaki-0"].core.state.counters["link-closed-silent"]
         self.assertThat(closed, GreaterThan(0))
 
 
-class HerdTests(SpreadTestCase):
+class MassRestartTests(SpreadTestCase):
     """Half of the nodes die in one instant and come back together.
 
     The survivors must take over the watch, and the storm of connections must
     not take the survivors down.
     """
 
-    def test_survivors_take_over_and_the_herd_catches_up(self):
+    def test_survivors_take_over_and_restarted_nodes_catch_up(self):
         fleet = self.fleet({"akaki": 20, "bole": 20})
-        herd = [n for zone in ("akaki", "bole") for n in self.watchers(fleet, zone)]
-        herd += [name for name in fleet.nodes if name not in herd][::2]
-        for name in herd:
+        restarted = [
+            n for zone in ("akaki", "bole") for n in self.watchers(fleet, zone)
+        ]
+        restarted += [name for name in fleet.nodes if name not in restarted][::2]
+        for name in restarted:
             fleet.stop(name)
         fleet.run(5)
         self.assertThat(len(self.watchers(fleet, "akaki")), GreaterThan(1))
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
-        for name in herd:
+        for name in restarted:
             fleet.start(name)
         fleet.run(8)
         self.assertEqual({2}, fleet.at_version())
@@ -326,22 +328,22 @@
 
         fleet.send = counting
         fleet.publish(2)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({2}, fleet.at_version())
         self.assertEqual(1, max(asked.values()))
 
 
-class PoisonTests(SpreadTestCase):
+class InvalidVersionTests(SpreadTestCase):
     """A version that contradicts itself is published between two good ones.
 
     Every node must refuse it whole and say why, and fresh nodes must still
     find the good one before it.
     """
 
-    def test_it_is_refused_everywhere_and_the_next_one_is_taken(self):
+    def test_an_invalid_version_is_refused_everywhere_and_the_next_one_is_taken(self):
         fleet = self.fleet()
         fleet.publish(2, route="nowhere")
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({1}, fleet.at_version())
         refused = {n.core.holder.last_refused.version for n in fleet.nodes.values()}
         self.assertEqual({2}, refused)
@@ -350,7 +352,7 @@
         fleet.run(8)
         self.assertEqual([1], fleet.nodes["bole-1"].versions)
         fleet.publish(3)
-        fleet.run(SOON)
+        fleet.run(CONVERGENCE)
         self.assertEqual({3}, fleet.at_version())
 
 
@@ -361,7 +363,7 @@
     belong to.
     """
 
-    def test_they_are_dropped_and_counted(self):
+    def test_late_answers_are_dropped_and_counted(self):
         fleet = self.fleet({"akaki": 3})
         core: SpreadCore = fleet.nodes["akaki-0"].core
         link = core.links.live()[0]
@@ -375,9 +377,9 @@
 class StrategyTests(SpreadTestCase):
     """The ways that the spread is measured against keep the same promises."""
 
-    def test_every_strategy_brings_a_change_to_every_node(self):
+    def test_every_strategy_distributes_a_change_to_every_node(self):
         for strategy in ("whole-snapshots", "flat-digests"):
             fleet = self.fleet(strategy=strategy)
             fleet.publish(2)
-            fleet.run(SOON)
+            fleet.run(CONVERGENCE)
             self.assertEqual({2}, fleet.at_version())
--- a/sequoiaspoke/tests/test_spread_property.py
+++ b/sequoiaspoke/tests/test_spread_property.py
@@ -29,7 +29,7 @@
 NAMES = tuple(f"{zone}-{number}" for zone, n in ZONES.items() for number in range(n))
 PLACES = (*ZONES, *NAMES, "platform")
 PAIRS = tuple(itertools.combinations(PLACES, 2))
-HEALED = 45.0  # seconds in which every backoff ends and everybody catches up
+HEAL_SECONDS = 45.0  # seconds in which every backoff ends and everybody catches up
 SETTINGS = settings(
     derandomize=True,
     deadline=None,
@@ -85,7 +85,7 @@
         self.put(self.version)
 
     @rule()
-    def publish_poison(self):
+    def publish_refused(self):
         self.version += 1
         self.put(self.version, route="nowhere")
 
@@ -117,7 +117,7 @@
             self.fleet.start(name)
 
     @rule(name=st.sampled_from(NAMES))
-    def pause_or_wake(self, name):
+    def pause_or_resume(self, name):
         if name in self.fleet.nodes:
             self.fleet.nodes[name].paused ^= True
 
@@ -133,9 +133,9 @@
         delay=st.sampled_from((0.01, 0.5, 3.0)),
         corrupt=st.sets(st.sampled_from(NAMES), max_size=2),
     )
-    def weather(self, loss, doubled, delay, corrupt):
+    def vary_network_faults(self, loss, doubled, delay, corrupt):
         fleet = self.fleet
-        fleet.loss, fleet.doubled, fleet.delay = loss, doubled, delay
+        fleet.loss_rate, fleet.duplicate_rate, fleet.delay = loss, doubled, delay
         fleet.corrupt = corrupt
 
     @rule(seconds=st.sampled_from((0.02, 0.3, 2.0, 6.0)))
@@ -143,7 +143,7 @@
         self.fleet.run(seconds)
 
     def teardown(self):
-        self.weather(0.0, 0.0, 0.01, set())
+        self.vary_network_faults(0.0, 0.0, 0.01, set())
         self.heal_cuts()
         for name in NAMES:
             if name not in self.fleet.nodes:
@@ -151,7 +151,7 @@
             self.fleet.nodes[name].paused = False
         self.publish()
         self.fleet.outage(up=True)
-        self.fleet.run(HEALED)
+        self.fleet.run(HEAL_SECONDS)
         assert self.fleet.at_version() == {self.version}, self.fleet.versions()
         assert all(
             node.core.verified(self.fleet.now) for node in self.fleet.nodes.values()
@@ -166,7 +166,7 @@
     that were withdrawn, or rules whose services are not there.
     """
 
-    def test_they_hold_after_every_step_and_all_converge(self):
+    def test_invariants_hold_after_every_step_and_all_converge(self):
         run_state_machine_as_test(SpreadMachine, settings=SETTINGS)
 
 
@@ -176,13 +176,13 @@
     A test that cannot fail would let the fault through that it is there for.
     """
 
-    def finds(self):
+    def assert_fault_found(self):
         with ExpectedException(AssertionError):
             run_state_machine_as_test(SpreadMachine, settings=SETTINGS)
 
     def test_a_gate_that_lets_older_versions_through(self):
         def judge(gate, version, root):
-            return REAL_JUDGE(Forgetful(gate), version, root)
+            return REAL_JUDGE(GateWithoutVersion(gate), version, root)
 
         def install(gate, installed):
             gate.current = installed
@@ -192,11 +192,11 @@
             mock.patch.object(VersionGate, "judge", judge),
             mock.patch.object(VersionGate, "install", install),
         ):
-            self.finds()
+            self.assert_fault_found()
 
-    def test_a_puller_that_never_asks_again(self):
+    def test_a_puller_that_never_retries(self):
         with mock.patch.object(Puller, "failed", lambda *_: None):
-            self.finds()
+            self.assert_fault_found()
 
     def test_an_install_without_validation(self):
         def build(head, store, before):
@@ -209,13 +209,13 @@
                     return build_snapshot(head, store, before)
 
         with mock.patch.object(holder, "build_snapshot", build):
-            self.finds()
+            self.assert_fault_found()
 
 
 REAL_JUDGE = VersionGate.judge
 
 
-class Forgetful:
+class GateWithoutVersion:
     """A gate that does not know which version is in force."""
 
     def __init__(self, gate):
