--- a/sequoiaspoke/core/spread/answers.py
+++ b/sequoiaspoke/core/spread/answers.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers: its status, its news and what they ask for."""
+"""Messages to peers: the node's status, announcements and answers to questions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from sequoiaspoke.core.spread.state import SpreadState
     from sequoiaspoke.core.spread.strategy import Strategy
 
-# Bytes of parts in one answer; larger ones would hold up heartbeats behind them.
+# Bytes of parts in one answer; larger answers would delay the heartbeats after them.
 MAX_ANSWER_BYTES = 256 * 1024
 
 
@@ -38,7 +38,7 @@
     Raises
     ------
     DocumentError
-        It is no head that could be told to other nodes.
+        The rebuilt head is invalid and must not reach other nodes.
     """
     parts: dict[str, str] = {}
     if delta.base_root:
@@ -55,7 +55,7 @@
 
 
 class Answerer:
-    """Answers peers within a budget of bytes, and announces news."""
+    """Answers peers within a budget of bytes, and announces new versions."""
 
     def __init__(
         self, state: SpreadState, links: LinkTable, strategy: Strategy
@@ -66,7 +66,7 @@
         self.byte_budget = TokenBucket(state.spread.answer_bytes)
 
     def status(self, watch: int, spare: int) -> Status:
-        """Return what heartbeats say."""
+        """Return the status that heartbeats carry."""
         gate = self.state.holder.gate
         current, refused = gate.current, gate.newest_refused()
         return Status(
@@ -81,7 +81,7 @@
         )
 
     def announce(self, target: Known, base: Known | None) -> None:
-        """Tell every linked peer that is not known to have a version."""
+        """Announce a version to every linked peer not known to have seen it."""
         delta = self.strategy.announced_delta(target, base)
         revision = self.state.vms.revision
         announcement = Announcement(target.version, target.root, delta, revision)
@@ -102,7 +102,7 @@
             self.state.count("message-unexpected")
 
     def head(self, question: HeadQuestion) -> HeadAnswer:
-        """Return a head that is held, as a difference if possible."""
+        """Return a head if it is held, as a difference if possible."""
         holder = self.state.holder
         target = holder.held(question.root)
         if target is None or target.version != question.version:
@@ -110,7 +110,7 @@
         return HeadAnswer(difference(target, holder.held(question.base_root)))
 
     def parts(self, question: PartsQuestion, now: float) -> PartsAnswer:
-        """Return the parts that are held, fit and are within the budget."""
+        """Return the parts that are held, fit into one answer and the budget."""
         found: list[Part] = []
         size = 0
         for digest in question.digests:
--- a/sequoiaspoke/core/spread/budget.py
+++ b/sequoiaspoke/core/spread/budget.py
@@ -1,8 +1,8 @@
-"""Limits on what a node may spend, and waits that spread a crowd.
+"""Rate limits and randomized backoff.
 
-After a herd of nodes dies, all of them come back together. Without a budget
-and without random waits they read the platform and connect to the same peers
-in one instant, are refused, and come back together again.
+When many nodes die at once, they also restart at once. Without rate limits and
+random waits, all of them would read the platform and connect to the same peers
+at the same time, be refused, and retry at the same time again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class TokenBucket:
-    """Lets `rate` units a second through, and one second's worth at once."""
+    """Lets `rate` units a second through, and by default as many in one burst."""
 
     def __init__(self, rate: float, burst: float = 0.0) -> None:
         self.rate = rate
@@ -25,7 +25,7 @@
         self.last: float | None = None
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Spend `amount` if any is left; one large amount may overdraw."""
+        """Spend `amount` if any token is left; a large amount may overdraw."""
         self._refill(now)
         if self.tokens <= 0:
             return False
@@ -40,7 +40,7 @@
 
 
 class Backoff:
-    """Full jitter: a random wait up to a bound that doubles to a cap."""
+    """Exponential backoff with full jitter: random waits, with a bound and a cap."""
 
     def __init__(self, base: float, cap: float, rng: random.Random) -> None:
         self.base = base
@@ -50,14 +50,14 @@
         self.until = 0.0
 
     def fail(self, now: float, at_least: float = 0.0) -> None:
-        """Note a failure and choose when to try again."""
+        """Record a failure and choose when to retry."""
         exponent = min(self.failures, MAX_EXPONENT)
         bound = min(self.cap, self.base * 2**exponent)
         self.failures += 1
         self.until = now + at_least + self.rng.uniform(0, bound)
 
     def succeed(self) -> None:
-        """Forget the failures."""
+        """Reset the backoff."""
         self.failures = 0
         self.until = 0.0
 
--- a/sequoiaspoke/core/spread/core.py
+++ b/sequoiaspoke/core/spread/core.py
@@ -1,7 +1,7 @@
-"""The spread of versions as one state machine without input or output.
+"""State machine that distributes versions, without input or output of its own.
 
-The shell hands in events and the time, and carries out the actions that come
-back. Nothing in here waits, and nothing looks at a clock.
+The caller (the node's event loop) passes in events and the time, and carries out
+the actions that are returned. The state machine never blocks or reads a clock.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     from sequoiaspoke.core.spread.state import Identity
     from sequoiaspoke.settings.schema import Settings
 
-# An answer that carries the number of another kind of question comes from a
-# peer that is broken; taken for the other it would end in an exception here.
+# The kind of question that each kind of answer belongs to. A faulty peer may send an
+# answer with the number of another kind of question; handling it would raise here.
 QUESTION_OF = {
     messages.Welcome: messages.Hello,
     messages.BeatAnswer: messages.Beat,
@@ -47,7 +47,7 @@
 
 
 class SpreadCore:
-    """Decides what one node reads, asks, answers, announces and installs."""
+    """Decides what a node reads, asks, answers, announces and installs."""
 
     def __init__(
         self, settings: Settings, identity: Identity, rng: random.Random
@@ -90,24 +90,24 @@
     def verified(self, now: float) -> bool:
         """Return whether the version in force may decide calls.
 
-        After a pause a call may come in before any event or tick does, so the
-        clock is asked here too.
+        After a pause a call may arrive before any event or tick, so this checks
+        for a pause too.
         """
         return self.verifier.verified and not self.pause.gap(now)
 
     def status(self) -> messages.Status:
-        """Return what the node says of itself."""
+        """Return the node's status for its peers."""
         return self.answerer.status(self.platform.watch_state(), self.duty.spare)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event and return what to do."""
+        """Process one event and return the resulting actions."""
         self.detect_pause(now)
         self.handlers[type(event)](event, now)
         self.puller.schedule(now)
         return self.state.take_actions()
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due; to be called several times a second."""
+        """Do what is due; must be called several times a second."""
         self.detect_pause(now)
         self.platform.tick(self.duty.decide(now), now)
         self.tick_links(now)
@@ -119,7 +119,7 @@
         return self.state.take_actions()
 
     def detect_pause(self, now: float) -> None:
-        """Doubt everything time-bound if this process stood still."""
+        """Reset everything that depends on time if this process was paused."""
         if not self.pause.observe(now):
             return
         self.verifier.on_resume(now)
@@ -127,7 +127,7 @@
         self.platform.restart_watches()
 
     def tick_links(self, now: float) -> None:
-        """Close silent links, send heartbeats, open wanted links."""
+        """Close silent and unwanted links, open wanted ones and send heartbeats."""
         self.links.close_silent(now)
         wanted = self.peers.wanted(self.catch_up.extra_peers(), now)
         for name, vm in wanted.items():
@@ -141,7 +141,7 @@
                 self.links.ask(link, beat, now)
 
     def on_platform_answered(self, event: events.PlatformAnswered, now: float) -> None:
-        """Take a document of the platform."""
+        """Process a document from the platform."""
         digest = self.platform.parts.pop(event.read, None)
         if digest is not None:
             self.intake.take_part(digest, event.body, PLATFORM_SOURCE, now)
@@ -154,7 +154,7 @@
             self.platform.failed(failed, now)
 
     def take_document(self, event: events.PlatformAnswered, now: float) -> None:
-        """Take the head or the VM list from the platform."""
+        """Process the head or the VM list from the platform."""
         if event.document == HEAD_DOCUMENT:
             head = codec.decode_head(event.body)
             if self.platform.answer(event, now):
@@ -169,12 +169,12 @@
     def on_platform_unchanged(
         self, event: events.PlatformUnchanged, now: float
     ) -> None:
-        """Note that a watch ended without news."""
+        """Record that a watch ended without a change."""
         del now
         self.platform.unchanged(event)
 
     def on_platform_failed(self, event: events.PlatformFailed, now: float) -> None:
-        """Note that a read failed."""
+        """Record that a read failed."""
         digest = self.platform.parts.pop(event.read, None)
         if digest is not None:
             self.state.count("platform-failed-part")
@@ -184,7 +184,7 @@
         self.state.no_vm_list = self.platform.vms.absent
 
     def on_link_up(self, event: events.LinkUp, now: float) -> None:
-        """Say who we are on a link that we opened."""
+        """Send a greeting on a link that this node opened."""
         link = self.links.up(event.link, now)
         if link is None or not link.outgoing:
             return
@@ -193,11 +193,11 @@
         self.links.ask(link, hello, now)
 
     def on_link_down(self, event: events.LinkDown, now: float) -> None:
-        """Forget a link."""
+        """Remove a link."""
         self.links.down(event.link, now)
 
     def on_received(self, event: events.Received, now: float) -> None:
-        """Take a message from a peer."""
+        """Process a message from a peer."""
         link = self.links.links.get(event.link)
         if link is None:
             self.state.count("message-on-closed-link")
@@ -229,7 +229,7 @@
     def on_hello(
         self, link: Link, number: int, hello: messages.Hello, now: float
     ) -> None:
-        """Answer a node that opened a link."""
+        """Answer the greeting of a node that opened a link."""
         own = self.state.identity
         self.links.greet(link, hello, now)
         welcome = messages.Welcome(own.name, own.zone, own.incarnation, self.status())
@@ -239,7 +239,7 @@
     def on_welcome(
         self, link: Link, message: messages.Welcome, exchange: Any, now: float
     ) -> None:
-        """Note who answered on a link that we opened."""
+        """Record which node answered on a link that this node opened."""
         del exchange
         self.links.greet(link, message, now)
         if link.greeted:
@@ -248,7 +248,7 @@
     def on_beat_answer(
         self, link: Link, message: messages.BeatAnswer, exchange: Any, now: float
     ) -> None:
-        """Take the status of a peer that we asked."""
+        """Process the status in a peer's answer to a heartbeat."""
         asked_at = exchange.deadline - self.state.spread.exchange
         self.take_status(link, message.status, now)
         self.verifier.confirm(link, asked_at)
@@ -270,7 +270,7 @@
     def on_announcement(
         self, link: Link, message: messages.Announcement, now: float
     ) -> None:
-        """Take news that a peer tells at once."""
+        """Process a peer's announcement of a version or VM list."""
         status = link.status
         if message.version > status.version:
             status = replace(status, version=message.version, root=message.root)
--- a/sequoiaspoke/core/spread/duty.py
+++ b/sequoiaspoke/core/spread/duty.py
@@ -1,17 +1,17 @@
-"""Whose turn it is to watch the platform.
+"""Decide which nodes watch the platform.
 
 The platform answers about two thousand reads a second over all readers, and a
-waiting watch counts. If every node watched, the fleet could not grow and the
-platform's return after an outage would be met by all of it at once. So the
-first live nodes of each zone's watch order watch, by a rule that each node
-works out alone: fewer live nodes before it than watchers wanted means that it
-watches. Two watchers outlive the death of one without a gap. A node that finds
-itself first waits a random time that grows with its place, so that nodes which
-disagree for a moment do not all start.
+waiting watch counts as a read. If every node watched, the fleet could not grow, and
+all nodes at once would read from the platform when it returns after an outage. So
+only the first live nodes of each zone's watch order watch. Each node decides this
+alone: it watches if fewer live nodes precede it than watchers are wanted. With two
+watchers, the death of one leaves no gap. Before a node takes over, it waits a random
+time that grows with its place in the order, so that nodes with briefly different
+views do not all start.
 
-Watchers whose own watch fails are followed by a few spares, for the case that
-only they lost the platform. The number is small because in an outage all of
-them fail, and every further one would only add to the crowd on its return.
+If the watches of watchers fail, a few spares watch too, in case only those watchers
+lost the platform. Their number is small: in an outage the spares fail as well, and
+each of them adds to the load when the platform returns.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         """Return whether to watch now."""
         rank = self.state.vms.rank()
         if self.state.vms.revision == 0:
-            # No list published: this node knows of no other that could watch.
+            # Without a VM list this node knows of no other node that could watch.
             self.watching = self.state.no_vm_list
             return self.watching
         if rank < self.state.spread.watchers:
@@ -63,7 +63,8 @@
         return self.watching
 
     def _spare_level(self, now: float) -> int | None:
-        # None: enough watch. 0: some are gone. More: as many failed in a row.
+        # None: enough nodes watch. 0: some preceding nodes are gone. Above 0: the
+        # number of watchers in a row whose watches failed.
         predecessors = self.peers.predecessors(now)
         wanted = self.state.spread.watchers
         if len(predecessors.live) + predecessors.unknown < wanted:
--- a/sequoiaspoke/core/spread/events.py
+++ b/sequoiaspoke/core/spread/events.py
@@ -1,4 +1,4 @@
-"""What happens to the spread core, and what it decides."""
+"""Events that the spread core processes, and actions that it returns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class PlatformAnswered:
-    """The platform gave a document; `read` is the number of the asking."""
+    """The platform returned a document; `read` is the number of the read."""
 
     read: int
     document: str
@@ -40,21 +40,21 @@
 
 @dataclass(frozen=True)
 class LinkUp:
-    """A connection stands; accepted ones have negative numbers."""
+    """A connection is established; accepted ones have negative numbers."""
 
     link: int
 
 
 @dataclass(frozen=True)
 class LinkDown:
-    """A connection is gone, or could not be opened."""
+    """A connection was closed or could not be opened."""
 
     link: int
 
 
 @dataclass(frozen=True)
 class Received:
-    """A message came in; an answer has the number of its question."""
+    """A message arrived; an answer has the number of its question."""
 
     link: int
     number: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class ReadPlatform:
-    """Read a document; a watch if `wait` is set."""
+    """Read a document, or watch it for up to `wait` seconds if that is set."""
 
     read: int
     document: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class CancelRead:
-    """Give up a read or watch; its answer is no longer wanted."""
+    """Cancel a read or watch; its answer is no longer needed."""
 
     read: int
 
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True)
 class Installed:
-    """A version came into force."""
+    """A version was installed."""
 
     snapshot: Snapshot
     source: str
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """A version failed validation and stays out."""
+    """A version failed validation and is not installed."""
 
     version: int
     source: str
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True)
 class VmsChanged:
-    """A newer VM list is held."""
+    """A newer VM list was taken."""
 
     revision: int
     vms: tuple[Vm, ...]
--- a/sequoiaspoke/core/spread/intake.py
+++ b/sequoiaspoke/core/spread/intake.py
@@ -1,7 +1,7 @@
-"""Takes heads, parts and VM lists from any source, and passes the news on.
+"""Process heads, parts and VM lists from any source, and announce the results.
 
-Whatever the way a document came, it goes through the same gate, and what was
-installed or refused is told to the shell and to the peers once.
+Every document passes the same gate, whichever source it comes from. Each version
+that was installed or refused is reported to the event loop and the peers once.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Intake:
-    """Offers documents to the holder and tells what became of them."""
+    """Offers documents to the holder and reports what was installed or refused."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
     def on_head_answer(
         self, link: Link, message: messages.HeadAnswer, exchange: Any, now: float
     ) -> None:
-        """Take a head that we asked for."""
+        """Process a head that this node asked for."""
         if message.delta is None:
-            # It was overtaken there in the meantime; the next heartbeat tells.
+            # The peer has a newer one by now; its next heartbeat says which.
             link.status = replace(link.status, version=0, refused_version=0)
             return
         taken = self.take_delta(link, message.delta, now)
@@ -57,7 +57,7 @@
             self.puller.ask_full_head(link, exchange.question, now)
 
     def take_delta(self, link: Link, delta: messages.HeadDelta, now: float) -> bool:
-        """Rebuild a head from its difference; return whether it fitted."""
+        """Rebuild a head from a difference; return False if the base did not fit."""
         if self.state.holder.gate.judge(delta.version, delta.root) is not Verdict.NEW:
             return True
         try:
@@ -72,7 +72,7 @@
         return True
 
     def take_head(self, head: Head, source: str, now: float) -> None:
-        """Offer a head to the gate and gather what it needs."""
+        """Offer a head to the holder."""
         decision = self.state.holder.offer_head(head, source, now)
         if decision.verdict is Verdict.NEW and not self.strategy.reuses_parts:
             self.state.holder.store.parts.clear()
@@ -81,7 +81,7 @@
     def on_parts_answer(
         self, link: Link, message: messages.PartsAnswer, exchange: Any, now: float
     ) -> None:
-        """Take parts that we asked for; those left out are asked elsewhere."""
+        """Process parts that this node asked for; missing ones are fetched again."""
         for part in message.parts:
             self.take_part(part.digest, part.packed, link.peer, now)
         if message.busy:
@@ -101,7 +101,7 @@
     def on_vms_answer(
         self, link: Link, message: messages.VmsAnswer, exchange: Any, now: float
     ) -> None:
-        """Take a VM list that we asked for."""
+        """Process a VM list that this node asked for."""
         del exchange, now
         try:
             taken = self.state.vms.apply(message)
@@ -112,7 +112,7 @@
             self.vms_changed(link)
 
     def vms_changed(self, source: Link | None) -> None:
-        """Tell the shell and the peers of a newer VM list."""
+        """Report a newer VM list to the event loop and the peers."""
         view = self.state.vms
         self.state.emit(events.VmsChanged(view.revision, tuple(view.vms.values())))
         announcement = messages.Announcement(0, vms_revision=view.revision)
@@ -121,7 +121,7 @@
                 self.links.send(link, announcement)
 
     def publish_results(self) -> None:
-        """Tell the shell and the peers of what was installed or refused."""
+        """Report new installed and refused versions to the event loop and peers."""
         gate = self.state.holder.gate
         if self.state.holder.version > self.announced_version:
             self.announced_version = self.state.holder.version
--- a/sequoiaspoke/core/spread/links.py
+++ b/sequoiaspoke/core/spread/links.py
@@ -1,9 +1,10 @@
-"""Links to peers: opened with jitter, kept alive, closed when silent.
+"""Links to peers: opened with backoff, kept alive, closed when silent.
 
-A connection may go silent for good while new ones work. Each exchange has a
-deadline; a link that misses one is closed, and what was asked on it is asked
-elsewhere. An answer must carry the number of a question that is still open on
-that same link, so late, doubled and crossed answers are dropped and counted.
+An open connection may go silent for good while new connections work. So each
+exchange has a deadline: a link that misses one is closed, and its questions are
+asked on other links. An answer must carry the number of a question that is still
+open on the same link; late, duplicate and misdirected answers are dropped and
+counted.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
     from sequoiaspoke.core.spread.messages import Hello, Message, Question, Welcome
     from sequoiaspoke.core.spread.state import SpreadState
 
-# Heartbeats an accepted link may miss before it counts as silent; one more
-# than the opener's own check needs, so that the opener notices first.
+# Heartbeats that an accepted link may miss before it counts as silent; one more than
+# the opener's own check needs, so that the opener closes a silent link first.
 ALLOWED_MISSED_BEATS = 2
-# Seconds a link that is no longer wanted stays, in case it soon is again.
+# Seconds for which an unwanted link stays open, in case it is soon wanted again.
 UNWANTED_GRACE = 3.0
 CONNECT_BURST = 16.0
 MAX_NUMBER = 1 << 30
@@ -33,7 +34,7 @@
 
 @dataclass
 class Link:
-    """One connection; accepted ones have negative numbers."""
+    """A connection to a peer; accepted ones have negative numbers."""
 
     number: int
     peer: str = ""
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """A question whose answer is awaited."""
+    """A question that awaits its answer."""
 
     link: int
     question: Question
@@ -83,7 +84,7 @@
         return self.last_number
 
     def live(self) -> list[Link]:
-        """Return the links whose peers have said who they are."""
+        """Return the links that have completed the greeting."""
         return [link for link in self.links.values() if link.greeted]
 
     def find(self, peer: str) -> Link | None:
@@ -104,10 +105,10 @@
         return self.backoffs[peer]
 
     def forget_removed(self, vms: Container[str]) -> None:
-        """Drop the record of VMs that are no longer on the list.
+        """Drop the backoffs of VMs that are no longer on the list.
 
-        VMs are replaced under new names all day; kept, their records would
-        fill the memory of a node that runs for months.
+        VMs are constantly replaced under new names; without this, a node that runs
+        for months would run out of memory.
         """
         self.backoffs = {n: b for n, b in self.backoffs.items() if n in vms}
 
@@ -124,7 +125,7 @@
         self.state.emit(OpenLink(link.number, vm.name, vm.address, vm.peer_port))
 
     def up(self, number: int, now: float) -> Link | None:
-        """Note that a connection stands; None if it is not taken."""
+        """Record that a connection is established; None if it is not accepted."""
         link = self.links.get(number)
         if link is None and number > 0:
             self.state.emit(CloseLink(number, "unknown"))
@@ -146,7 +147,7 @@
         return self.links[number]
 
     def down(self, number: int, now: float) -> None:
-        """Forget a connection and the questions asked on it."""
+        """Remove a connection and the questions asked on it."""
         link = self.links.pop(number, None)
         if link is None:
             return
@@ -160,16 +161,16 @@
             self.backoff(link.peer).fail(now)
 
     def close(self, link: Link, reason: str, now: float) -> None:
-        """Close a connection for a reason that is counted."""
+        """Close a connection and count the reason."""
         self.state.count(f"link-closed-{reason}")
         self.state.emit(CloseLink(link.number, reason))
         self.down(link.number, now)
 
     def greet(self, link: Link, hello: Hello | Welcome, now: float) -> None:
-        """Note who is at the other end.
+        """Record which node is at the other end.
 
-        A process that restarted comes back under the same name; links to its
-        earlier incarnation may look open for long, and are closed here.
+        A restarted process has the same name as before. Links to its previous
+        incarnation may seem open for long, and are closed here.
         """
         if link.outgoing and hello.name != link.peer:
             self.close(link, "other-peer", now)
@@ -200,7 +201,7 @@
         return number
 
     def match_answer(self, link: Link, number: int) -> Exchange | None:
-        """Match an answer with its question; None if nobody awaits it."""
+        """Return the exchange that an answer belongs to; None if there is none."""
         exchange = self.pending.get(number)
         if exchange is None or exchange.link != link.number:
             self.state.count("answer-late")
@@ -209,7 +210,7 @@
         return exchange
 
     def extend_deadlines(self, now: float) -> None:
-        """Start every deadline anew after this process itself stood still."""
+        """Restart every deadline after this process was paused."""
         deadline = now + self.state.spread.exchange
         self.pending = {
             number: Exchange(exchange.link, exchange.question, deadline)
@@ -231,7 +232,7 @@
                 self.close(link, "silent", now)
 
     def close_unwanted(self, wanted: Iterable[str], now: float) -> None:
-        """Close the links of our own that are no longer wanted."""
+        """Close the links opened by this node that have long been unwanted."""
         names = set(wanted)
         for link in list(self.links.values()):
             if not link.outgoing or link.peer in names:
--- a/sequoiaspoke/core/spread/messages.py
+++ b/sequoiaspoke/core/spread/messages.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other; digests are hexadecimal text here."""
+"""Messages between nodes; digests are hexadecimal text here."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class WatchState(IntEnum):
-    """How a node's own watch of the platform is doing."""
+    """State of a node's own watch of the platform."""
 
     NONE = 0
     WORKING = 1
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class Status:
-    """What a node says of itself with every heartbeat.
+    """A node's state, sent with every heartbeat.
 
     Attributes
     ----------
     refused_version : int
         Newest version that failed validation, where it is newer than `version`.
     spare : int
-        How many watchers in a row had failed when this one took over.
+        Number of watchers in a row whose watches had failed when this one took over.
     digests : dict
-        Digest of each part; only in the strategy that compares every part.
+        Digest of each part; only sent by the strategy that compares every part.
     """
 
     version: int = 0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Hello:
-    """First message on a link: who opened it."""
+    """First message on a link, from the node that opened it."""
 
     name: str
     zone: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Welcome:
-    """Answer to `Hello`: who accepted the link."""
+    """Answer to `Hello`, from the node that accepted the link."""
 
     name: str
     zone: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Announcement:
-    """Tells at once of a version or VM list that the sender has just taken."""
+    """Announces a version or VM list as soon as the sender has taken it."""
 
     version: int
     root: str = ""
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class HeadAnswer:
-    """The head that was asked for; None if it is not held."""
+    """The requested head; None if it is not held."""
 
     delta: HeadDelta | None = None
 
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Part:
-    """One packed part."""
+    """A packed part and its digest."""
 
     digest: str
     packed: bytes
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True)
 class PartsAnswer:
-    """The parts that the peer holds and that fit into one answer."""
+    """Those of the requested parts that are held and fit into one answer."""
 
     parts: tuple[Part, ...] = ()
     busy: bool = False
--- a/sequoiaspoke/core/spread/peers.py
+++ b/sequoiaspoke/core/spread/peers.py
@@ -1,11 +1,11 @@
-"""Which nodes to hold links to: a few, whatever the size of the fleet.
-
-Three kinds make the graph of links. Each node links to the two live nodes
-before it in its zone's watch order; that chain connects every node of the zone
-and tells each exactly whether it is its turn to watch. Two more, picked by
-hash, shorten the way through the zone. One in another zone joins the zones,
-half of them to the next zone by name, which makes a ring.
-With a link to everybody, the cost would grow with the square of the fleet.
+"""Choose the few peers to link to, independent of the size of the fleet.
+
+With links between all nodes, their number would grow with the square of the fleet.
+Instead, each node holds links of three kinds. Links to the two live nodes before it
+in its zone's watch order form a chain that connects the zone, and tell each node
+exactly whether it has to watch. Two more links in the zone, chosen by hash, shorten
+the paths through it. One link to another zone connects the zones; half of the nodes
+link to the next zone by name, so that the zones form a ring.
 """
 
 from __future__ import annotations
@@ -31,9 +31,11 @@
     Attributes
     ----------
     live : tuple of Link
-        Those that answer.
-    untried : int
-        Those of whom nothing is known yet.
+        Links to those that answer.
+    unknown : int
+        Number of those without a live link whose last connection did not fail.
+    wanted : tuple of str
+        Names of those to hold a link to.
     """
 
     live: tuple[Link, ...]
@@ -50,10 +52,10 @@
         self.revision = -1
         self.own_zone: list[str] = []
         self.other_zones: list[str] = []
-        self.hashes: dict[str, bytes] = {}  # by VM; the list changes all day
+        self.hashes: dict[str, bytes] = {}  # per VM; kept, as the list often changes
 
     def wanted(self, extra: int, now: float) -> dict[str, Vm]:
-        """Return the VMs to hold a link to; `more` in each direction."""
+        """Return the VMs to link to, with `extra` more in and outside the zone."""
         self._reorder()
         spread = self.state.spread
         names = list(self.predecessors(now).wanted)
@@ -65,7 +67,7 @@
         return {name: vms[name] for name in names if name in vms}
 
     def predecessors(self, now: float) -> Predecessors:
-        """Walk up the watch order until enough nodes answer."""
+        """Walk back in the watch order until there are enough nodes."""
         live: list[Link] = []
         wanted = []
         unknown = 0
@@ -107,10 +109,10 @@
         self.other_zones = self._order_other_zones(view.others(own_zone=False))
 
     def _order_other_zones(self, vms: list[Vm]) -> list[str]:
-        # The best of each other zone first, so that two links reach two zones.
-        # By hash alone, zones of one node could end up linked in separate pairs
-        # and, without the platform, never hear of each other. So every other
-        # node of a zone prefers the next zone by name: the zones form a ring.
+        # The first node of each zone comes first, so that two links reach two zones.
+        # By hash alone, zones of one node could be linked in separate groups, which
+        # are isolated from each other without the platform. So every second node of
+        # a zone prefers the next zone by name, and the zones form a ring.
         own = self.state.identity.zone
         ring = self.state.vms.rank() % 2 == 0
         seen: dict[str, int] = {}
--- a/sequoiaspoke/core/spread/platform.py
+++ b/sequoiaspoke/core/spread/platform.py
@@ -1,8 +1,8 @@
 """Reads and watches of the platform, within this node's budget.
 
-Every node reads twice when it starts, spread over time; only nodes on duty go
-on to watch. Failed reads are repeated after full-jitter waits with a cap, so
-that the platform is not met by a stampede when it comes back.
+Every node reads the VM list and the head once when it starts, at a random time;
+after that only nodes on watch duty watch them. Failed reads are retried with capped
+backoff and full jitter, so that the platform is not overloaded when it returns.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
     from sequoiaspoke.core.spread.events import PlatformAnswered, PlatformUnchanged
     from sequoiaspoke.core.spread.state import SpreadState
 
-# One refused read is everyday business; a second in a row means an outage.
+# A single refused read is normal; a second one in a row means an outage.
 FAILING_AFTER = 2
-# Heads a second that a starting fleet may read; half of the platform's rate.
+# Reads of the head a second by a starting fleet; half of the platform's rate.
 START_HEAD_READS = 1000.0
 
 
 @dataclass
 class Document:
-    """A document that is read at the start and then watched."""
+    """A document that is read at the start and then watched on duty."""
 
     name: str
     wait: float
@@ -65,7 +65,7 @@
 
     @property
     def answered(self) -> bool:
-        """Return whether the platform has told its head, or that it has none."""
+        """Return whether the platform has returned its head, or that it has none."""
         return self.head.answered or self.head.absent
 
     def start(self, now: float) -> None:
@@ -76,7 +76,7 @@
         self.head.due_at = now + jitter
 
     def watch_state(self) -> WatchState:
-        """Return what to tell peers of this node's watch."""
+        """Return the state of this node's watch, for its peers."""
         if not self.on_duty:
             return WatchState.NONE
         failing = self.head.backoff.failures >= FAILING_AFTER
@@ -100,8 +100,8 @@
             return
         if (document.answered or document.absent) and not self.on_duty:
             return
-        # Without the VM list there are no peers yet, so its size, by which
-        # the reads of the head are spread, is not known either.
+        # First reads of the head are spread by the size of the fleet, which is
+        # unknown until the VM list was read.
         known = self.vms.answered or self.vms.absent
         if document is self.head and not known and not self.on_duty:
             return
@@ -130,7 +130,7 @@
         return read
 
     def answer(self, event: PlatformAnswered, now: float) -> bool:
-        """Note an answer; return whether it was awaited."""
+        """Record an answer; return whether it was awaited."""
         document = self._complete(event.read)
         if document is None:
             return False
@@ -143,11 +143,11 @@
         return True
 
     def unchanged(self, event: PlatformUnchanged) -> bool:
-        """Note a watch that ended without news."""
+        """Record that a watch ended without a change; return whether it was awaited."""
         return self._complete(event.read) is not None
 
     def failed(self, event: PlatformFailed, now: float) -> bool:
-        """Note a failure; return whether the read was awaited."""
+        """Record a failure; return whether the read was awaited."""
         document = self._find(event.read)
         if document is None:
             return False
@@ -157,14 +157,14 @@
             document.backoff.succeed()
             return True
         document.backoff.fail(now, event.retry_after)
-        # The platform may come back with its revisions counted anew; a watch
-        # for more than the old number would wait for ever. So read afresh.
+        # The platform may return with its revisions restarted; a watch for one after
+        # the old revision would then never end. So the next is a plain read.
         document.revision = -1
         self.state.count(f"platform-failed-{document.name}")
         return True
 
     def restart_watches(self) -> None:
-        """Give up every watch after this process stood still, and read afresh."""
+        """Cancel all watches after this process was paused, and read again."""
         if not self.on_duty:
             return
         self._stop_watching()
--- a/sequoiaspoke/core/spread/pull.py
+++ b/sequoiaspoke/core/spread/pull.py
@@ -1,9 +1,9 @@
-"""Pulls what is missing: heads, parts and VM lists, each once at a time.
+"""Fetch what is missing: heads, parts and VM lists, each from one source at a time.
 
-Several peers tell of a new version within milliseconds. Asked of each of them,
-every part would cross the network several times over. So a part has one fetch
-in flight, whoever needs it; where that fetch fails, or brings bytes that do not
-match the digest, another source is asked.
+Several peers announce a new version within milliseconds. If each of them were asked
+for its parts, every part would be sent several times. So only one fetch of a part is
+in flight, however many versions need it. If it fails, or the bytes do not match the
+digest, another source is asked.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     from sequoiaspoke.core.spread.platform import PlatformReader
     from sequoiaspoke.core.spread.state import SpreadState
 
-PLATFORM = 0  # stands for the platform where a link's number is expected
+PLATFORM = 0  # denotes the platform where a link's number is expected
 PARTS_PER_QUESTION = 32
 QUESTIONS_PER_LINK = 2
-PLATFORM_READS = 8  # parts read from the platform at once
-# Sources that failed before a node off duty turns to the platform for a part.
+PLATFORM_READS = 8  # parts read from the platform at the same time
+# Failures of a part after which a node that is not on duty reads it from the platform.
 FAILURES_BEFORE_PLATFORM = 2
 
 
@@ -41,7 +41,7 @@
 
 
 class Puller:
-    """Decides what to ask of whom."""
+    """Decides what to ask which peer, and what to read from the platform."""
 
     def __init__(
         self, state: SpreadState, links: LinkTable, platform: PlatformReader
@@ -54,7 +54,7 @@
         self.vms_question: int | None = None
 
     def consider(self, link: Link, now: float) -> None:
-        """Compare what a peer shows with what is held."""
+        """Ask for what a peer's status shows to be newer than what is held."""
         status = link.status
         self.consider_version(link, status.version, status.root, now)
         self.consider_version(link, status.refused_version, status.refused_root, now)
@@ -72,12 +72,12 @@
         self.heads[version] = self.links.ask(link, question, now)
 
     def ask_full_head(self, link: Link, question: HeadQuestion, now: float) -> None:
-        """Ask again without a base, where the difference did not fit."""
+        """Ask again for a head, without a base, after a difference did not fit."""
         whole = HeadQuestion(question.version, question.root)
         self.heads[question.version] = self.links.ask(link, whole, now)
 
     def consider_vms(self, link: Link, now: float) -> None:
-        """Ask for a newer VM list, of one peer at a time."""
+        """Ask for a newer VM list, one peer at a time."""
         revision = self.state.vms.revision
         if link.status.vms_revision <= revision:
             return
@@ -157,7 +157,7 @@
         allowed = self.platform.on_duty or fails >= FAILURES_BEFORE_PLATFORM
         if allowed and PLATFORM not in fetch.tried:
             return PLATFORM
-        # Everybody was asked in vain; begin anew after a random wait.
+        # Every source failed: start again with all of them after a random wait.
         if fetch.tried:
             fetch.tried.clear()
             fetch.backoff.fail(now)
@@ -185,7 +185,7 @@
             in_flight[PLATFORM] = in_flight.get(PLATFORM, 0) + 1
 
     def failed(self, fetch: Fetch, now: float) -> None:
-        """Note that a source did not give a part."""
+        """Record that a source did not deliver a part."""
         if fetch.source is None:
             return
         fetch.tried.add(fetch.source)
@@ -194,9 +194,9 @@
         fetch.backoff.until = now
 
     def part_omitted(self, digest: str, empty_answer: bool, now: float) -> None:
-        """Note that an answer did not bring a part.
+        """Record that an answer omitted a part.
 
-        Where it brought others the part may just not have fitted, and the same
+        If it contained other parts, this one may just not have fitted, and the same
         peer may be asked again.
         """
         fetch = self.fetches.get(digest)
@@ -206,7 +206,7 @@
             fetch.source = None
 
     def part_failed(self, digest: str, now: float) -> None:
-        """Note that a part did not come, or came corrupted."""
+        """Record that a part could not be fetched or was corrupt."""
         fetch = self.fetches.get(digest)
         if fetch:
             self.failed(fetch, now)
--- a/sequoiaspoke/core/spread/settings.py
+++ b/sequoiaspoke/core/spread/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the spread decisions, with the reason of each default."""
+"""Settings of the spread decisions, with the reason for each default."""
 
 from __future__ import annotations
 
@@ -11,44 +11,49 @@
 
 @dataclass(frozen=True)
 class SpreadSettings:
-    """How versions get from the platform to every node."""
+    """How versions are distributed from the platform to every node."""
 
     strategy: str = option(
         "spread",
-        "How versions spread; the others are there to be measured against.",
+        "How versions are distributed; the others exist for comparison.",
         choices=STRATEGIES,
     )
     watchers: int = option(
-        2, "Nodes of a zone that watch the platform; two outlive one death.", 1, 16
+        2, "Nodes of a zone that watch the platform; two tolerate one death.", 1, 16
     )
     spare_watchers: int = option(
-        2, "More that try while the watchers' own watches fail.", 0, 16
+        2, "More nodes that watch while the watches of the watchers fail.", 0, 16
     )
     head_wait: float = option(
         4.0,
-        "Seconds one watch of the head may wait; a connection that went silent is "
-        "noticed this late, and two watchers cost half a read a second.",
+        "Seconds one watch of the head may wait; a silent connection is noticed "
+        "this late, and two watchers cost half a read a second.",
         0.05,
         300,
     )
     vms_wait: float = option(
-        20.0, "Seconds one watch of the VM list may wait; it lags anyway.", 0.05, 300
+        20.0,
+        "Seconds one watch of the VM list may wait; the list lags anyway.",
+        0.05,
+        300,
     )
     takeover: float = option(
         0.5,
         "Seconds of random delay, for each place in the order, before a node takes "
-        "over the watch of silent ones, so that few do at once.",
+        "over the watch from silent nodes, so that few do so at once.",
         0,
         60,
     )
     zone_peers: int = option(
-        2, "Links to nodes of the own zone, beside those of the watch order.", 0, 16
+        2, "Links to nodes of the own zone, besides those of the watch order.", 0, 16
     )
     cross_zone_peers: int = option(1, "Links to nodes of other zones.", 0, 16)
-    connections: int = option(64, "Links that others may hold to this node.", 1, 1024)
+    connections: int = option(
+        64, "Links that other nodes may hold to this node.", 1, 1024
+    )
     connects: float = option(
         4.0,
-        "New links a second that a node tries, so that a herd's return is spread.",
+        "New links a second that a node opens; spreads the load of a mass restart.",
         0.1,
         100,
     )
@@ -56,13 +61,13 @@
         4.0, "Seconds between heartbeats on a link; each carries the digest.", 0.05, 60
     )
     exchange: float = option(
-        2.0, "Seconds until a peer or the platform must have answered.", 0.05, 60
+        2.0, "Seconds within which a peer or the platform must answer.", 0.05, 60
     )
     reconnect: float = option(
-        0.5, "Seconds that the first reconnection is spread over; doubles.", 0.01, 60
+        0.5, "Longest random wait before the first reconnection; doubles.", 0.01, 60
     )
     reconnect_cap: float = option(
-        20.0, "Seconds that the spread of reconnections grows to.", 0.05, 600
+        20.0, "Seconds to which the longest reconnection wait grows.", 0.05, 600
     )
     reads: float = option(
         40.0,
@@ -73,20 +78,20 @@
     )
     answer_bytes: int = option(
         4_000_000,
-        "Bytes of parts a second that this node answers peers.",
+        "Bytes of parts a second that this node sends in answers to peers.",
         1000,
         1 << 30,
     )
     start_jitter: float = option(
         1.0,
-        "Seconds over which starting nodes spread their first read; 2,000 that "
+        "Seconds over which starting nodes spread their first read; 2,000 nodes that "
         "start at once then stay within the platform's rate.",
         0,
         60,
     )
     catch_up_peers: int = option(
-        3, "Peers with a version to hear before the first install.", 0, 16
+        3, "Peers with a version to hear from before the first install.", 0, 16
     )
     catch_up_wait: float = option(
-        2.0, "Seconds to wait for those before starting with what was heard.", 0, 60
+        2.0, "Seconds to wait for them before starting with the newest known.", 0, 60
     )
--- a/sequoiaspoke/core/spread/startup.py
+++ b/sequoiaspoke/core/spread/startup.py
@@ -1,13 +1,13 @@
-"""When a fresh process may install its first version.
-
-VMs keep nothing, so a process starts with no memory of what the fleet enforces.
-If it took whatever the platform said first, a stale platform would start it
-behind its neighbours, and calls through it would meet withdrawn rules. So it
-first hears the platform and several peers that hold a version, and takes the
-newest. The wait is bounded: when a whole fleet restarts nobody holds anything,
-and when the platform is down only peers can tell; whoever answered by then is
-believed, since not serving at all is worse for callers than an old version
-that the gate will replace as soon as a newer one is heard of.
+"""Decide when a new process may install its first version.
+
+VMs have no persistent storage, so a process starts without knowing which version
+the fleet enforces. If it installed the platform's first answer, a stale platform
+would start it with an older version than its peers, and its calls would follow
+withdrawn rules. So it first waits for the platform and for several peers that hold
+a version, and installs the newest. The wait is bounded: when a whole fleet restarts,
+no peer holds a version, and when the platform is down, only peers can answer. After
+the wait, the answers so far are enough. Not serving at all is worse for callers than
+an old version, which is replaced as soon as a newer one becomes known.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     from sequoiaspoke.core.spread.platform import PlatformReader
     from sequoiaspoke.core.spread.state import SpreadState
 
-# Times the wait after which parts of the newest version heard of, which still
-# have not come, no longer hold back an older one that is whole.
+# Multiple of `catch_up_wait` after which missing parts of the newest known version no
+# longer hold back an older version that is complete.
 PARTS_WAIT_FACTOR = 2.0
-# In each direction: with half of the fleet fresh, one node in two million finds
-# none of the others among the five usual and sixteen more.
+# In and outside the zone, each: if half of the fleet has just started, one node in
+# two million finds only such nodes among its five usual and sixteen extra peers.
 MAX_EXTRA_PEERS = 8
 
 
 class CatchUp:
-    """Holds back the first install until enough was heard."""
+    """Holds back the first install until enough sources have answered."""
 
     def __init__(
         self, state: SpreadState, links: LinkTable, platform: PlatformReader
@@ -43,16 +43,16 @@
 
     @property
     def done(self) -> bool:
-        """Return whether installs are let through."""
+        """Return whether installs are allowed."""
         return not self.state.holder.hold
 
     def extra_peers(self) -> int:
-        """Return how many peers to ask beyond the usual few.
+        """Return how many peers to link to beyond the usual few.
 
-        The usual links may be fewer than the peers to hear, and after a herd died
-        and returned they may all be fresh too. One more is asked for each that is
-        lacking and each that holds nothing, or a node whose peers all restarted
-        would take a stale platform's word.
+        The usual links may be fewer than the peers to hear from, and after a mass
+        restart their peers may hold no version either. One extra peer is linked for
+        each that is lacking and each that holds no version. Otherwise a node whose
+        peers all restarted would rely on a platform that may be stale.
         """
         if self.done:
             return 0
@@ -61,11 +61,11 @@
         return min(lacking + len(self.holds_version) - holding, MAX_EXTRA_PEERS)
 
     def tick(self, now: float) -> None:
-        """Let installs through once enough was heard."""
+        """Allow installs once enough sources have answered."""
         if self.done:
             return
-        # Peers can be asked only once the VM list is there; the wait for them
-        # begins then, or at the start where the platform gives no list.
+        # Peers can be asked only once the VM list is known; the wait for them begins
+        # then, or at the start if the platform returns no list.
         found = not self.peers_known and self.state.vms.revision > 0
         if self.waiting_since is None or found:
             self.waiting_since = now
@@ -97,12 +97,12 @@
         return holding >= min(spread.catch_up_peers, others) or self._all_heard(others)
 
     def _all_heard(self, others: int) -> bool:
-        # A small fleet that starts at once: everybody answered, none has more.
+        # In a small fleet that starts at once, all peers may answer without a version.
         return len(self.holds_version) >= others
 
     def _newest_is_complete(self) -> bool:
-        # A peer's newer version counts from when the peer shows it, not from
-        # when its head has come: the platform's older one may be whole by then.
+        # A peer's newer version counts as soon as its status shows it. By the time
+        # its head arrives, the platform's older version may already be complete.
         shown = max((link.status.version for link in self.links.live()), default=0)
         holder = self.state.holder
         candidates = holder.gate.newest_candidates()
--- a/sequoiaspoke/core/spread/state.py
+++ b/sequoiaspoke/core/spread/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the spread core share."""
+"""State that the components of the spread core share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Who this process is; the incarnation is new at every start."""
+    """Identity of this process; the incarnation is new at every start."""
 
     name: str
     zone: str
@@ -26,7 +26,7 @@
 
 
 class SpreadState:
-    """Settings, holder, VM list and counters of one node."""
+    """Settings, holder, VM list, counters and pending actions of one node."""
 
     def __init__(
         self, settings: Settings, identity: Identity, rng: random.Random
@@ -39,17 +39,17 @@
         self.vms = VmView(identity.name, identity.zone)
         self.counters: Counter[str] = Counter()
         self.actions: list[Action] = []
-        self.no_vm_list = False  # the platform says that it has no VM list
+        self.no_vm_list = False  # the platform answered that it has none
 
     def emit(self, action: Action) -> None:
-        """Decide on an action; the shell carries it out."""
+        """Add an action for the event loop to carry out."""
         self.actions.append(action)
 
     def count(self, name: str) -> None:
-        """Count an event that operators can see."""
+        """Count an event for the metrics."""
         self.counters[name] += 1
 
     def take_actions(self) -> list[Action]:
-        """Return the actions decided on since the last time."""
+        """Return the actions added since the last time."""
         actions, self.actions = self.actions, []
         return actions
--- a/sequoiaspoke/core/spread/strategy.py
+++ b/sequoiaspoke/core/spread/strategy.py
@@ -1,7 +1,7 @@
-"""How versions spread; one is used, the others are measured against it.
+"""Strategies to distribute versions: one for use, the others for comparison.
 
-The way in which every node watches the platform needs no peers at all and is a
-source of its own, beside the one that runs this core.
+The strategy `watch-all`, in which every node watches the platform, needs no peers
+and is a configuration source of its own, apart from the one that runs this core.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.snapshot.gate import Known
 
-# Changed parts that an announcement lists itself; a larger change is asked for.
+# Changed parts that an announcement may list; peers ask for larger changes.
 ANNOUNCED_PARTS = 16
 
 
 def difference(target: Known, base: Known | None) -> HeadDelta:
-    """Return a head as its difference from another, or whole."""
+    """Return a head as its difference from another, or whole without a base."""
     if base is None:
         return HeadDelta(target.version, target.root, "", dict(target.head.parts))
     old, new = base.head.parts, target.head.parts
@@ -29,25 +29,25 @@
 
 
 class Strategy(ABC):
-    """What varies between the ways to spread versions."""
+    """What differs between the ways to distribute versions."""
 
     reuses_parts = True
 
     @abstractmethod
     def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
-        """Return what an announcement says of the head itself."""
+        """Return the difference that an announcement carries, if any."""
 
     def heartbeat_digests(self, current: Known | None) -> dict[str, str]:
-        """Return the digests that every heartbeat carries beside the root's."""
+        """Return the digests that heartbeats carry besides that of the root."""
         del current
         return {}
 
 
 class RootThenParts(Strategy):
-    """Compare one digest; descend to heads and parts only where it differs."""
+    """Compare one digest; fetch heads and parts only if it differs."""
 
     def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
-        """Tell the difference while it is small."""
+        """Return the difference if it is small."""
         if base is None:
             return None
         delta = difference(target, base)
@@ -64,12 +64,12 @@
 
 
 class WholeSnapshots(Strategy):
-    """Move every part with every version."""
+    """Send every part with every version."""
 
     reuses_parts = False
 
     def announced_delta(self, target: Known, base: Known | None) -> HeadDelta | None:
-        """Tell the whole head."""
+        """Return the whole head."""
         del base
         return difference(target, None)
 
--- a/sequoiaspoke/core/spread/verify.py
+++ b/sequoiaspoke/core/spread/verify.py
@@ -1,10 +1,9 @@
-"""Whether this node's view may be served after it stood still.
+"""Decide whether a node may serve its version after it was paused.
 
-A process that was paused wakes up with an old version and believes it current.
-Until peers or the platform, asked after the wake, have confirmed the version,
-calls would be decided by rules that the rest of the fleet may have left. A node
-that reaches nobody serves again after a bounded wait, since a zone that is cut
-off must go on.
+A process that resumes after a pause has an old version and takes it for current.
+Until peers or the platform, asked after the pause, have confirmed the version, calls
+might be decided by rules that the rest of the fleet has replaced. A node that reaches
+no other serves again after a bounded wait, since a zone that is cut off must go on.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
         return self.resumed_at is None and self.state.holder.current is not None
 
     def on_resume(self, now: float) -> None:
-        """Doubt the view after a pause that ends now."""
+        """Mark the version as unverified after a pause that ends now."""
         self.state.count("pause-detected")
         if self.state.holder.current is None:
             return
@@ -44,12 +43,12 @@
         self.confirmed = set()
 
     def confirm(self, link: Link, asked_at: float) -> None:
-        """Note a peer's answer to a question sent after the wake."""
+        """Record a peer's answer if its question was sent after the pause."""
         if self.resumed_at is not None and asked_at >= self.resumed_at:
             self.confirmed.add(link.peer)
 
     def tick(self, now: float) -> None:
-        """Trust the view again once it is confirmed or the wait is over."""
+        """Mark the version as verified once confirmed or when the wait is over."""
         if self.resumed_at is None:
             return
         waited = now - self.resumed_at
--- a/sequoiaspoke/tests/fleet.py
+++ b/sequoiaspoke/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A queue of messages between spread cores, on a virtual clock."""
+"""Simulation of a fleet: spread cores, the platform and the network."""
 
 import heapq
 import itertools
@@ -24,7 +24,7 @@
 
 
 def publication(version, route="fleet"):
-    """Make a version whose fleet service changes each time."""
+    """Make a publication whose fleet service differs for each version."""
     targets = [(name, version if name == "fleet" else 0) for name in SERVICES]
     services = tuple(
         Service(name, (Endpoint(f"{name}-{n}", name, "akaki", "127.0.0.1", n + 1),))
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """Some nodes, the platform and the faults between them."""
+    """Nodes and the platform on a simulated clock, with faults between them."""
 
     def __init__(self, zones, seed=1, **spread):
         self.rng = random.Random(seed)
--- a/sequoiaspoke/tests/test_spread.py
+++ b/sequoiaspoke/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of versions under faults, on a virtual clock."""
+"""Tests of the distribution of versions under faults, in a simulated fleet."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -39,10 +39,10 @@
 
 
 class ReorderingTests(SpreadTestCase):
-    """Announcements and parts of several versions overtake each other.
+    """Announcements and parts of several versions arrive out of order.
 
-    A node that installed them in the order of arrival would go back to rules
-    that are withdrawn, and a foreman would book by yesterday's rules.
+    A node that installed versions in the order of arrival would go back to rules
+    that are withdrawn.
     """
 
     def test_the_newest_wins_at_every_node(self):
@@ -69,10 +69,10 @@
 
 
 class StalePlatformTests(SpreadTestCase):
-    """A herd of nodes restarts while the platform serves an old version.
+    """Many nodes restart while the platform serves an old version.
 
-    A node that believed the platform alone would enforce rules that the rest
-    of the fleet has left; a mourner's order would depend on the proxy it met.
+    A node that relied on the platform alone would enforce rules that the rest of
+    the fleet has replaced; a call's result would depend on the node that it enters.
     """
 
     def test_restarted_nodes_start_with_the_fleets_version(self):
@@ -114,8 +114,8 @@
 class OutageTests(SpreadTestCase):
     """The platform is down for long, nodes restart meanwhile, then it returns.
 
-    If all of them asked at once, the platform would refuse most and stay
-    overloaded; versions would take minutes where a stream cannot wait.
+    If all nodes read at once, the platform would refuse most reads and stay
+    overloaded, and versions would take minutes to reach all nodes.
     """
 
     def test_peers_go_on_and_the_platforms_return_causes_no_read_spike(self):
@@ -153,10 +153,10 @@
 
 
 class PartitionTests(SpreadTestCase):
-    """A zone is cut off; versions are accepted just before, during and after.
+    """A zone is cut off; versions are published just before, during and after.
 
-    Without merging, its nodes would enforce an old version for good, or worse,
-    bring the others back to it.
+    Without merging, its nodes would enforce an old version for good, or even bring
+    the other zones back to it.
     """
 
     def test_a_zone_goes_on_and_merges_when_it_is_healed(self):
@@ -179,7 +179,7 @@
         self.assertEqual({4}, fleet.at_version())
 
     def test_zones_of_one_node_reach_each_other_without_the_platform(self):
-        # By hash alone, these names' links make two groups that never meet.
+        # By hash alone, the links between these names form two separate groups.
         fleet = self.fleet({f"depot-{number}": 1 for number in range(8)})
         cut_off = [name for name in fleet.zones if name != "depot-3-0"]
         fleet.cuts = {frozenset(("platform", name)) for name in cut_off}
@@ -199,10 +199,10 @@
 
 
 class PauseTests(SpreadTestCase):
-    """A watcher stands still, its duty moves on, and it wakes believing itself.
+    """A watcher is paused, another node takes over, and the watcher resumes.
 
-    Its late news must change nothing, and until it has asked its peers it must
-    not serve the rules that it believes current.
+    Its outdated messages must change nothing. Until it has asked its peers, it must
+    not serve the version that it takes for current.
     """
 
     def test_a_resumed_watcher_verifies_before_it_serves(self):
@@ -243,8 +243,8 @@
 class SilentLinkTests(SpreadTestCase):
     """Open connections go silent for good while new ones work.
 
-    A node that trusted them would hear of no version any more, and would look
-    healthy all the while.
+    A node that relied on them would receive no version any more, and would still
+    seem healthy.
     """
 
     def test_silent_links_are_replaced(self):
@@ -261,10 +261,10 @@
 
 
 class MassRestartTests(SpreadTestCase):
-    """Half of the nodes die in one instant and come back together.
+    """Half of the nodes die at once and restart at once.
 
-    The survivors must take over the watch, and the storm of connections must
-    not take the survivors down.
+    The survivors must take over the watch, and the new connections must not
+    overload them.
     """
 
     def test_survivors_take_over_and_restarted_nodes_catch_up(self):
@@ -291,10 +291,10 @@
 
 
 class PartTests(SpreadTestCase):
-    """A part never arrives from where it was asked, or arrives corrupted.
+    """A part never arrives from the source that was asked, or arrives corrupted.
 
-    A node that waited for it for good would stay behind alone; one that took
-    it would enforce what nobody published.
+    A node that kept waiting for it would stay at an old version; one that installed
+    it would enforce rules that were never published.
     """
 
     def test_corrupted_parts_are_fetched_elsewhere(self):
@@ -334,10 +334,10 @@
 
 
 class InvalidVersionTests(SpreadTestCase):
-    """A version that contradicts itself is published between two good ones.
+    """A self-contradictory version is published between two valid ones.
 
-    Every node must refuse it whole and say why, and fresh nodes must still
-    find the good one before it.
+    Every node must refuse all of it and report why, and new nodes must still find
+    the valid version before it.
     """
 
     def test_an_invalid_version_is_refused_everywhere_and_the_next_one_is_taken(self):
@@ -357,10 +357,10 @@
 
 
 class LateAnswerTests(SpreadTestCase):
-    """Answers come late, twice, or on another link than their question.
+    """Answers arrive late, twice, or on another link than their question.
 
-    Handed to whoever waits next, they would settle a question that they do not
-    belong to.
+    Without the check of link and number, they could be taken for the answer to
+    another question.
     """
 
     def test_late_answers_are_dropped_and_counted(self):
@@ -375,7 +375,7 @@
 
 
 class StrategyTests(SpreadTestCase):
-    """The ways that the spread is measured against keep the same promises."""
+    """The strategies for comparison give the same guarantees."""
 
     def test_every_strategy_distributes_a_change_to_every_node(self):
         for strategy in ("whole-snapshots", "flat-digests"):
--- a/sequoiaspoke/tests/test_spread_property.py
+++ b/sequoiaspoke/tests/test_spread_property.py
@@ -1,4 +1,4 @@
-"""Random faults against a handful of nodes; the invariants hold at each step.
+"""Property test: invariants of a small fleet hold at each step under random faults.
 
 `make property` runs many more examples; SPREAD_EXAMPLES sets how many.
 """
@@ -29,7 +29,7 @@
 NAMES = tuple(f"{zone}-{number}" for zone, n in ZONES.items() for number in range(n))
 PLACES = (*ZONES, *NAMES, "platform")
 PAIRS = tuple(itertools.combinations(PLACES, 2))
-HEAL_SECONDS = 45.0  # seconds in which every backoff ends and everybody catches up
+HEAL_SECONDS = 45.0  # in which every backoff ends and every node catches up
 SETTINGS = settings(
     derandomize=True,
     deadline=None,
@@ -42,7 +42,7 @@
 
 
 class SpreadMachine(RuleBasedStateMachine):
-    """Publishes, breaks and mends in any order."""
+    """Publishes versions, causes faults and ends them, in any order."""
 
     def __init__(self):
         super().__init__()
@@ -159,11 +159,11 @@
 
 
 class InvariantTests(TestCase):
-    """Messages are lost, late, doubled and reordered; nodes restart, pause and
+    """Messages are lost, late, duplicated and reordered; nodes restart, pause and
     are cut off, in any combination.
 
-    Were one combination to break an invariant, some caller would meet rules
-    that were withdrawn, or rules whose services are not there.
+    If a combination broke an invariant, calls would be decided by withdrawn rules
+    or by rules whose services are missing.
     """
 
     def test_invariants_hold_after_every_step_and_all_converge(self):
@@ -171,9 +171,9 @@
 
 
 class BrokenCoreTests(TestCase):
-    """The property test must notice a core whose safeguards are gone.
+    """The property test must detect a core without its safeguards.
 
-    A test that cannot fail would let the fault through that it is there for.
+    Otherwise it might be unable to fail, and miss the faults that it is for.
     """
 
     def assert_fault_found(self):
@@ -216,7 +216,7 @@
 
 
 class GateWithoutVersion:
-    """A gate that does not know which version is in force."""
+    """A gate that always reports version 0, as if none were in force."""
 
     def __init__(self, gate):
         self.candidates = gate.candidates
