--- a/sequoiaspoke/core/spread/__init__.py
+++ b/sequoiaspoke/core/spread/__init__.py
@@ -1,1 +1,1 @@
-"""How versions reach every node."""
+"""Distribute versions of the configuration to every node."""
--- a/sequoiaspoke/core/spread/settings.py
+++ b/sequoiaspoke/core/spread/settings.py
@@ -64,10 +64,10 @@
         2.0, "Seconds within which a peer or the platform must answer.", 0.05, 60
     )
     reconnect: float = option(
-        0.5, "Longest random wait before the first reconnection; doubles.", 0.01, 60
+        0.5, "Seconds of the longest random wait to reconnect; doubles.", 0.01, 60
     )
     reconnect_cap: float = option(
-        20.0, "Seconds to which the longest reconnection wait grows.", 0.05, 600
+        20.0, "Seconds up to which the longest wait to reconnect doubles.", 0.05, 600
     )
     reads: float = option(
         40.0,
@@ -93,5 +93,5 @@
         3, "Peers with a version to hear from before the first install.", 0, 16
     )
     catch_up_wait: float = option(
-        2.0, "Seconds to wait for them before starting with the newest known.", 0, 60
+        2.0, "Seconds to wait for these peers before the first install.", 0, 60
     )
