--- a/sequoiaspoke/core/idempotency/home.py
+++ b/sequoiaspoke/core/idempotency/home.py
@@ -1,9 +1,9 @@
-"""Decide for one target which keyed calls run, and give repeats their answer.
+"""Decide for one target which keyed calls run, and answer their retries.
 
-A key runs only in the process that held a quorum of witnesses without a gap from one
-window before the key was minted until the call is handed over. No two processes can
-both have held one over that time, so at most one can ever run a key, and what that
-one refuses is not run anywhere.
+A process runs a key only if a quorum of witnesses confirmed it without a gap, from
+one window before the key was minted until the call is handed over. Two processes
+cannot both hold a quorum over that time. So at most one process can ever run a key,
+and a key that it refuses runs nowhere.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 from sequoiaspoke.core.idempotency.calls import Join, Proceed, Refuse, Replay, Run
 from sequoiaspoke.core.idempotency.key import home_of
+from sequoiaspoke.core.idempotency.lease import Lease
 from sequoiaspoke.core.idempotency.ledger import Ledger, State
 from sequoiaspoke.core.idempotency.refusals import Refusals
 from sequoiaspoke.core.idempotency.safeguards import Safeguards
-from sequoiaspoke.core.idempotency.tenure import Tenure
 from sequoiaspoke.errors import (
     AnswerNotKeptError,
     DrainingError,
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True)
 class HomeStatus:
-    """What the operators' page shows of a home."""
+    """State of a home for operators."""
 
     window_open: bool
-    tenure_since: float
-    lapses: int
+    lease_start: float
+    times_closed: int
     keys: int
     kept_bytes: int
     refused_keys: int
@@ -70,7 +70,7 @@
     identity : Identity
         The target and this process.
     safeguards : Safeguards
-        Rules in force; all of them outside tests.
+        Rules that apply; only tests turn one off.
     """
 
     def __init__(
@@ -84,63 +84,63 @@
         self.safeguards = safeguards
         self.ledger = Ledger(settings)
         self.refusals = Refusals(settings)
-        self.tenure = Tenure(settings, identity, safeguards)
+        self.lease = Lease(settings, identity, safeguards)
         self.draining = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Learn of an installed version."""
-        self.tenure.on_snapshot(snapshot)
+        """Take an installed version."""
+        self.lease.on_snapshot(snapshot)
 
     def on_vms(self, vms: VmList, now: Moment) -> None:
-        """Learn of a VM list."""
-        self.tenure.on_vms(vms, now)
+        """Take a VM list."""
+        self.lease.on_vms(vms, now)
 
-    def on_vouch(self, answer: Answer, now: Moment) -> None:
-        """Count a witness's answer."""
-        self.tenure.on_vouch(answer, now)
+    def on_answer(self, answer: Answer, now: Moment) -> None:
+        """Take a witness's answer."""
+        self.lease.on_answer(answer, now)
 
     def tick(self, now: Moment) -> tuple[Question, ...]:
-        """Forget what is old and return the questions that are due."""
+        """Forget expired keys and return the questions that are due."""
         self.ledger.forget(now)
-        return self.tenure.questions(now)
+        return self.lease.questions(now)
 
     def drain(self) -> None:
-        """Take on no new key; repeats still get their answers."""
+        """Refuse new keys from now on; retries of known keys are still answered."""
         self.draining = True
 
     def admit(self, call: KeyedCall, now: Moment) -> Admission:
-        """Decide what to do with an attempt that has arrived."""
+        """Decide what to do with an attempt that arrived."""
         entry = self.ledger.get(call.key)
         if entry is not None:
-            return self._repeat(entry, call)
-        if self.refusals.knows(call.key):
+            return self._admit_retry(entry, call)
+        if self.refusals.contains(call.key):
             return Refuse(KeyRefusedError(), settled=True)
-        error = self._not_ours(call.key) or self._may_not_run(call.key, now)
+        error = self._check_home(call.key) or self._check_lease(call.key, now)
         if isinstance(error, KeyFromFutureError):
             self.refusals.add(call.key, now)
         if error is not None:
             return Refuse(error)
-        error = self._refusal(call.key, now)
+        error = self._check_admission(call.key, now)
         if error is not None:
-            return self._settle(call.key, error, now)
+            return self._refuse_for_good(call.key, error, now)
         self.ledger.start(call.key, call.fingerprint)
         return Run()
 
     def hand_over(self, key: Key, now: Moment) -> Proceed | Refuse:
-        """Check again at the moment of handing the call to the upstream.
+        """Check the lease again just before the call goes to the upstream.
 
-        A process that was paused since the admission would otherwise act on an old
-        window, while the key has run at a new home.
+        If the process was paused after admission, its lease may have expired and
+        the key may have run at a new home.
         """
         entry = self.ledger.get(key)
         if entry is None or entry.state is not State.QUEUED:
             return Refuse(KeyRefusedError("the call has ended"))
         error = None
         if self.safeguards.check_at_hand_over:
-            error = self._not_ours(key) or self._may_not_run(key, now)
+            error = self._check_home(key) or self._check_lease(key, now)
         if error is not None:
             self.ledger.drop(entry)
-            return self._settle(key, _as_not_run(error), now)
+            return self._refuse_for_good(key, _as_not_run(error), now)
         entry.state = State.HANDED_OVER
         return Proceed()
 
@@ -151,29 +151,29 @@
             self.ledger.answered(entry, answer, now)
 
     def failed(self, key: Key, error: CallError, now: Moment) -> Refuse:
-        """Note that the call got no whole answer, and say what to tell its callers."""
+        """Record that the call got no whole answer; return the refusal for callers."""
         entry = self.ledger.get(key)
         if entry is None or not entry.live:
             return Refuse(error)
         if entry.state is State.QUEUED or error.ran is Ran.NOT_RUN:
             self.ledger.drop(entry)
-            return self._settle(key, _as_not_run(error), now)
+            return self._refuse_for_good(key, _as_not_run(error), now)
         self.ledger.outcome_unknown(entry, now)
         return Refuse(error)
 
     def status(self, now: Moment) -> HomeStatus:
-        """Return what the operators' page shows."""
+        """Return the state of the home for operators."""
         return HomeStatus(
-            window_open=self.tenure.is_open(now),
-            tenure_since=self.tenure.begins(),
-            lapses=self.tenure.window.lapses,
+            window_open=self.lease.is_open(now),
+            lease_start=self.lease.starts_at(),
+            times_closed=self.lease.window.times_closed,
             keys=len(self.ledger.entries),
             kept_bytes=self.ledger.kept_bytes,
             refused_keys=len(self.refusals.keys),
             draining=self.draining,
         )
 
-    def _repeat(self, entry: Entry, call: KeyedCall) -> Admission:
+    def _admit_retry(self, entry: Entry, call: KeyedCall) -> Admission:
         if self.safeguards.fingerprint and entry.fingerprint != call.fingerprint:
             return Refuse(KeyReusedError())
         if entry.live:
@@ -184,47 +184,47 @@
             return Refuse(AnswerNotKeptError())
         return Replay(entry.answer)
 
-    def _not_ours(self, key: Key) -> CallError | None:
+    def _check_home(self, key: Key) -> CallError | None:
         if key.target and key.target == self.identity.target:
             if key.zone != self.identity.zone:
                 return WrongHomeError()
             gone = key.incarnation != self.identity.incarnation
             return IssuerGoneError() if gone else None
-        home = home_of(key, self.tenure.names)
+        home = home_of(key, self.lease.target_names)
         if key.zone != self.identity.zone or home != self.identity.target:
             return WrongHomeError()
         return None
 
-    def _may_not_run(self, key: Key, now: Moment) -> CallError | None:
-        """Say why a key not in the ledger may have run, or may run elsewhere."""
+    def _check_lease(self, key: Key, now: Moment) -> CallError | None:
+        """Return the reason if an unknown key may have run or may run elsewhere."""
         margin = self.settings.clock_margin
         if key.minted is not None and key.minted > now.wall + margin:
             return KeyFromFutureError()
-        if not key.target and not self.tenure.is_open(now):
+        if not key.target and not self.lease.is_open(now):
             return WindowClosedError(retry_after=self.settings.window)
-        if not self.safeguards.tenure:
+        if not self.safeguards.lease_start:
             return None
         if key.minted is None:
             first_use = now.wall - self.settings.opaque_lifetime
-            return None if first_use >= self.tenure.begins() else KeyTooOldError()
+            return None if first_use >= self.lease.starts_at() else KeyTooOldError()
         if key.minted < now.wall - (self.settings.retention - margin):
             return KeyTooOldError()
-        if not key.target and key.minted < self.tenure.begins() + margin:
+        if not key.target and key.minted < self.lease.starts_at() + margin:
             return KeyTooOldError()
         return None
 
-    def _refusal(self, key: Key, now: Moment) -> CallError | None:
-        if self.refusals.covers(key, now):
+    def _check_admission(self, key: Key, now: Moment) -> CallError | None:
+        if self.refusals.may_contain(key, now):
             return KeyRefusedError()
         if self.draining:
             return DrainingError()
         return LedgerFullError(retry_after=1.0) if self.ledger.full else None
 
-    def _settle(self, key: Key, error: CallError, now: Moment) -> Refuse:
-        """Refuse for good a key that this process alone may run.
+    def _refuse_for_good(self, key: Key, error: CallError, now: Moment) -> Refuse:
+        """Refuse a key for good; only this process may run it.
 
-        A copy of the attempt may still be on its way through another entry. Its
-        caller has been told that the call was not run, so it must stay true.
+        A copy of the attempt may still arrive through another entry. It must not
+        run, because the caller is told that the call was not run.
         """
         self.refusals.add(key, now)
         return Refuse(error, settled=True)
--- a/sequoiaspoke/core/spread/answers.py
+++ b/sequoiaspoke/core/spread/answers.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers: its status, its news and what they ask for."""
+"""Messages to peers: the node's status, announcements and answers to questions."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     from sequoiaspoke.core.spread.state import SpreadState
     from sequoiaspoke.core.spread.strategy import Strategy
 
-# Bytes of parts in one answer; larger ones would hold up heartbeats behind them.
-ANSWER_LIMIT = 256 * 1024
+# Bytes of parts in one answer; larger answers would delay the heartbeats after them.
+MAX_ANSWER_BYTES = 256 * 1024
 
 
 def apply_delta(delta: HeadDelta, holder: SnapshotHolder) -> Head | None:
@@ -38,7 +38,7 @@
     Raises
     ------
     DocumentError
-        It is no head that could be told to other nodes.
+        The rebuilt head is invalid and must not reach other nodes.
     """
     parts: dict[str, str] = {}
     if delta.base_root:
@@ -55,7 +55,7 @@
 
 
 class Answerer:
-    """Answers peers within a budget of bytes, and announces news."""
+    """Answers peers within a budget of bytes, and announces new versions."""
 
     def __init__(
         self, state: SpreadState, links: LinkTable, strategy: Strategy
@@ -63,10 +63,10 @@
         self.state = state
         self.links = links
         self.strategy = strategy
-        self.bytes = TokenBucket(state.spread.answer_bytes)
+        self.byte_budget = TokenBucket(state.spread.answer_bytes)
 
     def status(self, watch: int, spare: int) -> Status:
-        """Return what heartbeats say."""
+        """Return the status that heartbeats carry."""
         gate = self.state.holder.gate
         current, refused = gate.current, gate.newest_refused()
         return Status(
@@ -77,18 +77,18 @@
             self.state.vms.revision,
             int(watch),
             spare,
-            self.strategy.summary(current),
+            self.strategy.heartbeat_digests(current),
         )
 
     def announce(self, target: DigestedHead, base: DigestedHead | None) -> None:
-        """Tell every linked peer that is not known to have a version."""
-        delta = self.strategy.announced(target, base)
+        """Announce a version to every linked peer not known to have seen it."""
+        delta = self.strategy.announced_delta(target, base)
         revision = self.state.vms.revision
-        news = Announcement(target.version, target.root, delta, revision)
+        announcement = Announcement(target.version, target.root, delta, revision)
         for link in self.links.live():
-            if not link.shows(target.version):
+            if not link.has_seen(target.version):
                 self.state.count("announced")
-                self.links.send(link, news)
+                self.links.send(link, announcement)
 
     def answer(self, link: Link, number: int, message: Message, now: float) -> None:
         """Answer a question for a head, parts or the VM list."""
@@ -102,7 +102,7 @@
             self.state.count("message-unexpected")
 
     def head(self, question: HeadQuestion) -> HeadAnswer:
-        """Return a head that is held, as a difference if possible."""
+        """Return a head if it is held, as a difference if possible."""
         holder = self.state.holder
         target = holder.find_by_root(question.root)
         if target is None or target.version != question.version:
@@ -110,16 +110,16 @@
         return HeadAnswer(difference(target, holder.find_by_root(question.base_root)))
 
     def parts(self, question: PartsQuestion, now: float) -> PartsAnswer:
-        """Return the parts that are held, fit and are within the budget."""
+        """Return the parts that are held, fit into one answer and the budget."""
         found: list[Part] = []
         size = 0
         for digest in question.digests:
             packed = self.state.holder.store.get(digest)
             if packed is None:
                 continue
-            if found and size + len(packed) > ANSWER_LIMIT:
+            if found and size + len(packed) > MAX_ANSWER_BYTES:
                 break
-            if not self.bytes.take(now, len(packed)):
+            if not self.byte_budget.take(now, len(packed)):
                 self.state.count("answer-over-budget")
                 return PartsAnswer(tuple(found), busy=True)
             found.append(Part(digest, packed))
--- a/sequoiaspoke/core/spread/duty.py
+++ b/sequoiaspoke/core/spread/duty.py
@@ -1,17 +1,17 @@
-"""Whose turn it is to watch the platform.
+"""Decide which nodes watch the platform.
 
 The platform answers about two thousand reads a second over all readers, and a
-waiting watch counts. If every node watched, the fleet could not grow and the
-platform's return after an outage would be met by all of it at once. So the
-first live nodes of each zone's watch order watch, by a rule that each node
-works out alone: fewer live nodes before it than watchers wanted means that it
-watches. Two watchers outlive the death of one without a gap. A node that finds
-itself first waits a random time that grows with its place, so that nodes which
-disagree for a moment do not all start.
+waiting watch counts as a read. If every node watched, the fleet could not grow, and
+all nodes at once would read from the platform when it returns after an outage. So
+only the first live nodes of each zone's watch order watch. Each node decides this
+alone: it watches if fewer live nodes precede it than watchers are wanted. With two
+watchers, the death of one leaves no gap. Before a node takes over, it waits a random
+time that grows with its place in the order, so that nodes with briefly different
+views do not all start.
 
-Watchers whose own watch fails are followed by a few spares, for the case that
-only they lost the platform. The number is small because in an outage all of
-them fail, and every further one would only add to the crowd on its return.
+If the watches of watchers fail, a few spares watch too, in case only those watchers
+lost the platform. Their number is small: in an outage the spares fail as well, and
+each of them adds to the load when the platform returns.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     from sequoiaspoke.core.spread.peers import PeerChooser
     from sequoiaspoke.core.spread.state import SpreadState
 
-PLACES_LIMIT = 8
+MAX_PLACES = 8
 
 
 class Duty:
@@ -33,7 +33,7 @@
     def __init__(self, state: SpreadState, peers: PeerChooser) -> None:
         self.state = state
         self.peers = peers
-        self.on = False
+        self.watching = False
         self.spare = 0
         self.take_over_at: float | None = None
 
@@ -41,45 +41,46 @@
         """Return whether to watch now."""
         rank = self.state.vms.rank()
         if self.state.vms.revision == 0:
-            # No list published: this node knows of no other that could watch.
-            self.on = self.state.alone
-            return self.on
+            # Without a VM list this node knows of no other node that could watch.
+            self.watching = self.state.no_vm_list
+            return self.watching
         if rank < self.state.spread.watchers:
-            self.on, self.spare, self.take_over_at = True, 0, None
+            self.watching, self.spare, self.take_over_at = True, 0, None
             return True
-        spare = self._vacancy(now)
+        spare = self._spare_level(now)
         if spare is None:
-            return self._leave()
+            return self._stop()
         self.spare = spare
-        if self.on:
+        if self.watching:
             return True
         if self.take_over_at is None:
-            places = min(rank - self.state.spread.watchers + 1, PLACES_LIMIT)
+            places = min(rank - self.state.spread.watchers + 1, MAX_PLACES)
             wait = self.state.spread.takeover * places
             self.take_over_at = now + self.state.rng.uniform(0, wait)
         if now >= self.take_over_at:
-            self.on = True
+            self.watching = True
             self.state.count("duty-taken-over")
-        return self.on
+        return self.watching
 
-    def _vacancy(self, now: float) -> int | None:
-        # None: enough watch. 0: some are gone. More: as many failed in a row.
-        seniors = self.peers.seniors(now)
+    def _spare_level(self, now: float) -> int | None:
+        # None: enough nodes watch. 0: some preceding nodes are gone. Above 0: the
+        # number of watchers in a row whose watches failed.
+        predecessors = self.peers.predecessors(now)
         wanted = self.state.spread.watchers
-        if len(seniors.live) + seniors.untried < wanted:
+        if len(predecessors.live) + predecessors.unknown < wanted:
             return 0
         failing = [
             link.status.spare
-            for link in seniors.live
+            for link in predecessors.live
             if link.status.watch == WatchState.FAILING
         ]
-        if len(seniors.live) - len(failing) + seniors.untried >= wanted:
+        if len(predecessors.live) - len(failing) + predecessors.unknown >= wanted:
             return None
         spare = max(failing) + 1
         return spare if spare <= self.state.spread.spare_watchers else None
 
-    def _leave(self) -> bool:
-        if self.on:
+    def _stop(self) -> bool:
+        if self.watching:
             self.state.count("duty-handed-back")
-        self.on, self.spare, self.take_over_at = False, 0, None
+        self.watching, self.spare, self.take_over_at = False, 0, None
         return False
--- a/sequoiaspoke/core/spread/links.py
+++ b/sequoiaspoke/core/spread/links.py
@@ -1,9 +1,10 @@
-"""Links to peers: opened with jitter, kept alive, closed when silent.
+"""Links to peers: opened with backoff, kept alive, closed when silent.
 
-A connection may go silent for good while new ones work. Each exchange has a
-deadline; a link that misses one is closed, and what was asked on it is asked
-elsewhere. An answer must carry the number of a question that is still open on
-that same link, so late, doubled and crossed answers are dropped and counted.
+An open connection may go silent for good while new connections work. So each
+exchange has a deadline: a link that misses one is closed, and its questions are
+asked on other links. An answer must carry the number of a question that is still
+open on the same link; late, duplicate and misdirected answers are dropped and
+counted.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
     from sequoiaspoke.core.spread.messages import Hello, Message, Question, Welcome
     from sequoiaspoke.core.spread.state import SpreadState
 
-# Heartbeats an accepted link may miss before it counts as silent; one more
-# than the opener's own check needs, so that the opener notices first.
-MISSED_BEATS = 2
-# Seconds a link that is no longer wanted stays, in case it soon is again.
-UNWANTED_KEEP = 3.0
+# Heartbeats that an accepted link may miss before it counts as silent; one more than
+# the opener's own check needs, so that the opener closes a silent link first.
+ALLOWED_MISSED_BEATS = 2
+# Seconds for which an unwanted link stays open, in case it is soon wanted again.
+UNWANTED_GRACE = 3.0
 CONNECT_BURST = 16.0
-LAST_NUMBER = 1 << 30
+MAX_NUMBER = 1 << 30
 
 
 @dataclass
 class Link:
-    """One connection; accepted ones have negative numbers."""
+    """A connection to a peer; accepted ones have negative numbers."""
 
     number: int
     peer: str = ""
@@ -42,7 +43,7 @@
     status: Status = field(default_factory=Status)
     up: bool = False
     greeted: bool = False
-    heard: float = 0.0
+    last_received: float = 0.0
     beat_due: float = 0.0
     unwanted_since: float | None = None
 
@@ -51,14 +52,14 @@
         """Return whether this node opened the link."""
         return self.number > 0
 
-    def shows(self, version: int) -> bool:
+    def has_seen(self, version: int) -> bool:
         """Return whether the peer is known to have seen a version."""
         return max(self.status.version, self.status.refused_version) >= version
 
 
 @dataclass(frozen=True)
 class Exchange:
-    """A question whose answer is awaited."""
+    """A question that awaits its answer."""
 
     link: int
     question: Question
@@ -74,16 +75,16 @@
         self.greeted: dict[str, Link] = {}
         self.pending: dict[int, Exchange] = {}
         self.backoffs: dict[str, Backoff] = {}
-        self.opens = TokenBucket(state.spread.connects, CONNECT_BURST)
+        self.connect_budget = TokenBucket(state.spread.connects, CONNECT_BURST)
         self.last_number = 0
 
     def next_number(self) -> int:
         """Return a fresh number for a link or a question."""
-        self.last_number = self.last_number % LAST_NUMBER + 1
+        self.last_number = self.last_number % MAX_NUMBER + 1
         return self.last_number
 
     def live(self) -> list[Link]:
-        """Return the links whose peers have said who they are."""
+        """Return the links that have completed the greeting."""
         return [link for link in self.links.values() if link.greeted]
 
     def find(self, peer: str) -> Link | None:
@@ -103,11 +104,11 @@
             )
         return self.backoffs[peer]
 
-    def forget_gone(self, vms: Container[str]) -> None:
-        """Drop the record of VMs that are no longer on the list.
+    def forget_removed(self, vms: Container[str]) -> None:
+        """Drop the backoffs of VMs that are no longer on the list.
 
-        VMs are replaced under new names all day; kept, their records would
-        fill the memory of a node that runs for months.
+        VMs are constantly replaced under new names; without this, a node that runs
+        for months would run out of memory.
         """
         self.backoffs = {n: b for n, b in self.backoffs.items() if n in vms}
 
@@ -117,36 +118,36 @@
 
     def open(self, vm: Vm, now: float) -> None:
         """Connect to a node if the budget allows it now."""
-        if not self.backoff(vm.name).ready(now) or not self.opens.take(now):
+        if not self.backoff(vm.name).ready(now) or not self.connect_budget.take(now):
             return
-        link = Link(self.next_number(), vm.name, vm.zone, heard=now)
+        link = Link(self.next_number(), vm.name, vm.zone, last_received=now)
         self.links[link.number] = link
-        self.state.act(OpenLink(link.number, vm.name, vm.address, vm.peer_port))
+        self.state.emit(OpenLink(link.number, vm.name, vm.address, vm.peer_port))
 
     def up(self, number: int, now: float) -> Link | None:
-        """Note that a connection stands; None if it is not taken."""
+        """Record that a connection is established; None if it is not accepted."""
         link = self.links.get(number)
         if link is None and number > 0:
-            self.state.act(CloseLink(number, "unknown"))
+            self.state.emit(CloseLink(number, "unknown"))
             return None
         if link is None:
             link = self._accept(number)
         if link:
             link.up = True
-            link.heard = now
+            link.last_received = now
         return link
 
     def _accept(self, number: int) -> Link | None:
         accepted = sum(not link.outgoing for link in self.links.values())
         if accepted >= self.state.spread.connections:
             self.state.count("link-over-limit")
-            self.state.act(CloseLink(number, "over-limit"))
+            self.state.emit(CloseLink(number, "over-limit"))
             return None
         self.links[number] = Link(number)
         return self.links[number]
 
     def down(self, number: int, now: float) -> None:
-        """Forget a connection and the questions asked on it."""
+        """Remove a connection and the questions asked on it."""
         link = self.links.pop(number, None)
         if link is None:
             return
@@ -160,16 +161,16 @@
             self.backoff(link.peer).fail(now)
 
     def close(self, link: Link, reason: str, now: float) -> None:
-        """Close a connection for a reason that is counted."""
+        """Close a connection and count the reason."""
         self.state.count(f"link-closed-{reason}")
-        self.state.act(CloseLink(link.number, reason))
+        self.state.emit(CloseLink(link.number, reason))
         self.down(link.number, now)
 
     def greet(self, link: Link, hello: Hello | Welcome, now: float) -> None:
-        """Note who is at the other end.
+        """Record which node is at the other end.
 
-        A process that restarted comes back under the same name; links to its
-        earlier incarnation may look open for long, and are closed here.
+        A restarted process has the same name as before. Links to its previous
+        incarnation may seem open for long, and are closed here.
         """
         if link.outgoing and hello.name != link.peer:
             self.close(link, "other-peer", now)
@@ -189,7 +190,7 @@
 
     def send(self, link: Link, message: Message, number: int = 0) -> None:
         """Send a message that awaits no answer, or an answer."""
-        self.state.act(Send(link.number, number, message))
+        self.state.emit(Send(link.number, number, message))
 
     def ask(self, link: Link, question: Question, now: float) -> int:
         """Send a question and return its number."""
@@ -199,8 +200,8 @@
         self.send(link, question, number)
         return number
 
-    def settle(self, link: Link, number: int) -> Exchange | None:
-        """Match an answer with its question; None if nobody awaits it."""
+    def match_answer(self, link: Link, number: int) -> Exchange | None:
+        """Return the exchange that an answer belongs to; None if there is none."""
         exchange = self.pending.get(number)
         if exchange is None or exchange.link != link.number:
             self.state.count("answer-late")
@@ -208,15 +209,15 @@
         del self.pending[number]
         return exchange
 
-    def give_time(self, now: float) -> None:
-        """Start every deadline anew after this process itself stood still."""
+    def extend_deadlines(self, now: float) -> None:
+        """Restart every deadline after this process was paused."""
         deadline = now + self.state.spread.exchange
         self.pending = {
             number: Exchange(exchange.link, exchange.question, deadline)
             for number, exchange in self.pending.items()
         }
         for link in self.links.values():
-            link.heard = now
+            link.last_received = now
             link.beat_due = now
 
     def close_silent(self, now: float) -> None:
@@ -226,12 +227,12 @@
         for link in list(self.links.values()):
             limit = spread.exchange
             if link.greeted:
-                limit += MISSED_BEATS * spread.beat
-            if link.number in late or now - link.heard > limit:
+                limit += ALLOWED_MISSED_BEATS * spread.beat
+            if link.number in late or now - link.last_received > limit:
                 self.close(link, "silent", now)
 
     def close_unwanted(self, wanted: Iterable[str], now: float) -> None:
-        """Close the links of our own that are no longer wanted."""
+        """Close the links opened by this node that have long been unwanted."""
         names = set(wanted)
         for link in list(self.links.values()):
             if not link.outgoing or link.peer in names:
@@ -239,6 +240,6 @@
                 continue
             if link.unwanted_since is None:
                 link.unwanted_since = now
-            if now - link.unwanted_since >= UNWANTED_KEEP:
+            if now - link.unwanted_since >= UNWANTED_GRACE:
                 self.close(link, "unwanted", now)
                 self.backoff(link.peer).succeed()
--- a/sequoiaspoke/core/spread/platform.py
+++ b/sequoiaspoke/core/spread/platform.py
@@ -1,8 +1,8 @@
 """Reads and watches of the platform, within this node's budget.
 
-Every node reads twice when it starts, spread over time; only nodes on duty go
-on to watch. Failed reads are repeated after full-jitter waits with a cap, so
-that the platform is not met by a stampede when it comes back.
+Every node reads the VM list and the head once when it starts, at a random time;
+after that only nodes on watch duty watch them. Failed reads are retried with capped
+backoff and full jitter, so that the platform is not overloaded when it returns.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
     from sequoiaspoke.core.spread.events import PlatformAnswered, PlatformUnchanged
     from sequoiaspoke.core.spread.state import SpreadState
 
-# One refused read is everyday business; a second in a row means an outage.
+# A single refused read is normal; a second one in a row means an outage.
 FAILING_AFTER = 2
-# Heads a second that a starting fleet may read; half of the platform's rate.
-START_HEADS = 1000.0
+# Reads of the head a second by a starting fleet; half of the platform's rate.
+START_HEAD_READS = 1000.0
 
 
 @dataclass
 class Document:
-    """A document that is read at the start and then watched."""
+    """A document that is read at the start and then watched on duty."""
 
     name: str
     wait: float
     backoff: Backoff
     revision: int = -1
     read: int | None = None
-    overdue: float = 0.0
-    due: float = 0.0
+    timeout_at: float = 0.0
+    due_at: float = 0.0
     answered: bool = False
     absent: bool = False
 
@@ -52,7 +52,7 @@
         spread = state.spread
         self.head = self._document(HEAD_DOCUMENT, spread.head_wait)
         self.vms = self._document(VMS_DOCUMENT, spread.vms_wait)
-        self.bucket = TokenBucket(spread.reads)
+        self.read_budget = TokenBucket(spread.reads)
         self.on_duty = False
         self.last_read = 0
         self.parts: dict[int, str] = {}
@@ -65,18 +65,18 @@
 
     @property
     def answered(self) -> bool:
-        """Return whether the platform has told its head, or that it has none."""
+        """Return whether the platform has returned its head, or that it has none."""
         return self.head.answered or self.head.absent
 
     def start(self, now: float) -> None:
         """Choose when to read for the first time."""
         self.started = True
         jitter = self.state.rng.uniform(0, self.state.spread.start_jitter)
-        self.vms.due = now + jitter
-        self.head.due = now + jitter
+        self.vms.due_at = now + jitter
+        self.head.due_at = now + jitter
 
     def watch_state(self) -> WatchState:
-        """Return what to tell peers of this node's watch."""
+        """Return the state of this node's watch, for its peers."""
         if not self.on_duty:
             return WatchState.NONE
         failing = self.head.backoff.failures >= FAILING_AFTER
@@ -93,19 +93,19 @@
             self._tick_document(document, now)
 
     def _tick_document(self, document: Document, now: float) -> None:
-        if document.read is not None and now >= document.overdue:
-            self.state.act(CancelRead(document.read))
+        if document.read is not None and now >= document.timeout_at:
+            self.state.emit(CancelRead(document.read))
             self.failed(PlatformFailed(document.read, document.name), now)
-        if document.read is not None or now < document.due:
+        if document.read is not None or now < document.due_at:
             return
         if (document.answered or document.absent) and not self.on_duty:
             return
-        # Without the VM list there are no peers yet, so its size, by which
-        # the reads of the head are spread, is not known either.
+        # First reads of the head are spread by the size of the fleet, which is
+        # unknown until the VM list was read.
         known = self.vms.answered or self.vms.absent
         if document is self.head and not known and not self.on_duty:
             return
-        if document.backoff.ready(now) and self.bucket.take(now):
+        if document.backoff.ready(now) and self.read_budget.take(now):
             self._read(document, now)
 
     def _read(self, document: Document, now: float) -> None:
@@ -114,24 +114,24 @@
         wait = document.wait if watching else 0.0
         after = max(document.revision, 0) if watching else -1
         document.read = self._next_read()
-        document.overdue = now + wait + self.state.spread.exchange
+        document.timeout_at = now + wait + self.state.spread.exchange
         self.state.count(f"platform-read-{document.name}")
-        self.state.act(ReadPlatform(document.read, document.name, after, wait))
+        self.state.emit(ReadPlatform(document.read, document.name, after, wait))
 
     def read_part(self, digest: str, now: float) -> int | None:
         """Read a part; None if the budget is spent."""
-        if not self.bucket.take(now):
+        if not self.read_budget.take(now):
             self.state.count("platform-read-over-budget")
             return None
         read = self._next_read()
         self.parts[read] = digest
         self.state.count("platform-read-part")
-        self.state.act(ReadPlatform(read, PART_PREFIX + digest))
+        self.state.emit(ReadPlatform(read, PART_PREFIX + digest))
         return read
 
     def answer(self, event: PlatformAnswered, now: float) -> bool:
-        """Note an answer; return whether it was awaited."""
-        document = self._settle(event.read)
+        """Record an answer; return whether it was awaited."""
+        document = self._complete(event.read)
         if document is None:
             return False
         document.revision = event.revision
@@ -139,15 +139,15 @@
         document.answered = True
         document.absent = False
         if first and document is self.vms:
-            self._spread_heads(now)
+            self._spread_head_reads(now)
         return True
 
     def unchanged(self, event: PlatformUnchanged) -> bool:
-        """Note a watch that ended without news."""
-        return self._settle(event.read) is not None
+        """Record that a watch ended without a change; return whether it was awaited."""
+        return self._complete(event.read) is not None
 
     def failed(self, event: PlatformFailed, now: float) -> bool:
-        """Note a failure; return whether the read was awaited."""
+        """Record a failure; return whether the read was awaited."""
         document = self._find(event.read)
         if document is None:
             return False
@@ -157,35 +157,35 @@
             document.backoff.succeed()
             return True
         document.backoff.fail(now, event.retry_after)
-        # The platform may come back with its revisions counted anew; a watch
-        # for more than the old number would wait for ever. So read afresh.
+        # The platform may return with its revisions restarted; a watch for one after
+        # the old revision would then never end. So the next is a plain read.
         document.revision = -1
         self.state.count(f"platform-failed-{document.name}")
         return True
 
-    def forget(self) -> None:
-        """Give up every watch after this process stood still, and read afresh."""
+    def restart_watches(self) -> None:
+        """Cancel all watches after this process was paused, and read again."""
         if not self.on_duty:
             return
         self._stop_watching()
         for document in (self.vms, self.head):
             document.revision = -1
             document.answered = False
-            document.due = 0.0
+            document.due_at = 0.0
 
     def _stop_watching(self) -> None:
         for document in (self.vms, self.head):
             if document.read is not None:
-                self.state.act(CancelRead(document.read))
+                self.state.emit(CancelRead(document.read))
                 document.read = None
 
-    def _spread_heads(self, now: float) -> None:
+    def _spread_head_reads(self, now: float) -> None:
         if self.on_duty:
             return
-        window = len(self.state.vms.vms) / START_HEADS
-        self.head.due = now + self.state.rng.uniform(0, window)
+        window = len(self.state.vms.vms) / START_HEAD_READS
+        self.head.due_at = now + self.state.rng.uniform(0, window)
 
-    def _settle(self, read: int) -> Document | None:
+    def _complete(self, read: int) -> Document | None:
         document = self._find(read)
         if document:
             document.read = None
--- a/sequoiaspoke/core/spread/pull.py
+++ b/sequoiaspoke/core/spread/pull.py
@@ -1,9 +1,9 @@
-"""Pulls what is missing: heads, parts and VM lists, each once at a time.
+"""Fetch what is missing: heads, parts and VM lists, each from one source at a time.
 
-Several peers tell of a new version within milliseconds. Asked of each of them,
-every part would cross the network several times over. So a part has one fetch
-in flight, whoever needs it; where that fetch fails, or brings bytes that do not
-match the digest, another source is asked.
+Several peers announce a new version within milliseconds. If each of them were asked
+for its parts, every part would be sent several times. So only one fetch of a part is
+in flight, however many versions need it. If it fails, or the bytes do not match the
+digest, another source is asked.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     from sequoiaspoke.core.spread.platform import PlatformReader
     from sequoiaspoke.core.spread.state import SpreadState
 
-PLATFORM = 0  # stands for the platform where a link's number is expected
+PLATFORM = 0  # denotes the platform where a link's number is expected
 PARTS_PER_QUESTION = 32
 QUESTIONS_PER_LINK = 2
-PLATFORM_READS = 8  # parts read from the platform at once
-# Sources that failed before a node off duty turns to the platform for a part.
+PLATFORM_READS = 8  # parts read from the platform at the same time
+# Failures of a part after which a node that is not on duty reads it from the platform.
 FAILURES_BEFORE_PLATFORM = 2
 
 
@@ -41,7 +41,7 @@
 
 
 class Puller:
-    """Decides what to ask of whom."""
+    """Decides what to ask which peer, and what to read from the platform."""
 
     def __init__(
         self, state: SpreadState, links: LinkTable, platform: PlatformReader
@@ -54,7 +54,7 @@
         self.vms_question: int | None = None
 
     def consider(self, link: Link, now: float) -> None:
-        """Compare what a peer shows with what is held."""
+        """Ask for what a peer's status shows to be newer than what is held."""
         status = link.status
         self.consider_version(link, status.version, status.root, now)
         self.consider_version(link, status.refused_version, status.refused_root, now)
@@ -71,13 +71,13 @@
         question = HeadQuestion(version, root, base)
         self.heads[version] = self.links.ask(link, question, now)
 
-    def ask_whole_head(self, link: Link, question: HeadQuestion, now: float) -> None:
-        """Ask again without a base, where the difference did not fit."""
+    def ask_full_head(self, link: Link, question: HeadQuestion, now: float) -> None:
+        """Ask again for a head, without a base, after a difference did not fit."""
         whole = HeadQuestion(question.version, question.root)
         self.heads[question.version] = self.links.ask(link, whole, now)
 
     def consider_vms(self, link: Link, now: float) -> None:
-        """Ask for a newer VM list, of one peer at a time."""
+        """Ask for a newer VM list, one peer at a time."""
         revision = self.state.vms.revision
         if link.status.vms_revision <= revision:
             return
@@ -98,22 +98,22 @@
         missing = self.state.holder.missing()
         if not missing and not self.fetches:
             return
-        self._match(missing, now)
+        self._update_fetches(missing, now)
         asked: dict[int, list[str]] = defaultdict(list)
-        busy = self._busy()
+        in_flight = self._questions_in_flight()
         for digest in missing:
             fetch = self.fetches[digest]
             if fetch.source is not None or not fetch.backoff.ready(now):
                 continue
-            source = self._choose(digest, fetch, asked, busy, now)
+            source = self._choose_source(digest, fetch, asked, in_flight, now)
             if source == PLATFORM:
-                self._read_platform(digest, fetch, busy, now)
+                self._read_platform(digest, fetch, in_flight, now)
             elif source is not None:
                 asked[source].append(digest)
         for source, digests in asked.items():
             self._ask(self.links.links[source], digests, now)
 
-    def _match(self, missing: tuple[str, ...], now: float) -> None:
+    def _update_fetches(self, missing: tuple[str, ...], now: float) -> None:
         known = self.fetches
         spread = self.state.spread
         self.fetches = {
@@ -126,19 +126,19 @@
             if gone:
                 self.failed(fetch, now)
 
-    def _busy(self) -> dict[int, int]:
+    def _questions_in_flight(self) -> dict[int, int]:
         numbers: dict[int, set[int]] = defaultdict(set)
         for fetch in self.fetches.values():
             if fetch.source is not None:
                 numbers[fetch.source].add(fetch.number)
         return {source: len(some) for source, some in numbers.items()}
 
-    def _choose(
+    def _choose_source(
         self,
         digest: str,
         fetch: Fetch,
         asked: dict[int, list[str]],
-        busy: dict[int, int],
+        in_flight: dict[int, int],
         now: float,
     ) -> int | None:
         holders = self._holders(digest)
@@ -146,7 +146,7 @@
         free = [
             link.number
             for link in untried
-            if busy.get(link.number, 0) < QUESTIONS_PER_LINK
+            if in_flight.get(link.number, 0) < QUESTIONS_PER_LINK
             and len(asked[link.number]) < PARTS_PER_QUESTION
         ]
         if free:
@@ -157,7 +157,7 @@
         allowed = self.platform.on_duty or fails >= FAILURES_BEFORE_PLATFORM
         if allowed and PLATFORM not in fetch.tried:
             return PLATFORM
-        # Everybody was asked in vain; begin anew after a random wait.
+        # Every source failed: start again with all of them after a random wait.
         if fetch.tried:
             fetch.tried.clear()
             fetch.backoff.fail(now)
@@ -166,7 +166,7 @@
     def _holders(self, digest: str) -> list[Link]:
         candidates = self.state.holder.gate.newest_candidates()
         wanted = [one for one in candidates if digest in one.head.parts.values()]
-        return [link for link in self.links.live() if _has(link, wanted)]
+        return [link for link in self.links.live() if _shows_any(link, wanted)]
 
     def _ask(self, link: Link, digests: list[str], now: float) -> None:
         number = self.links.ask(link, PartsQuestion(tuple(digests)), now)
@@ -175,17 +175,17 @@
             self.fetches[digest].number = number
 
     def _read_platform(
-        self, digest: str, fetch: Fetch, busy: dict[int, int], now: float
+        self, digest: str, fetch: Fetch, in_flight: dict[int, int], now: float
     ) -> None:
-        if busy.get(PLATFORM, 0) >= PLATFORM_READS:
+        if in_flight.get(PLATFORM, 0) >= PLATFORM_READS:
             return
         read = self.platform.read_part(digest, now)
         if read is not None:
             fetch.source, fetch.number = PLATFORM, read
-            busy[PLATFORM] = busy.get(PLATFORM, 0) + 1
+            in_flight[PLATFORM] = in_flight.get(PLATFORM, 0) + 1
 
     def failed(self, fetch: Fetch, now: float) -> None:
-        """Note that a source did not give a part."""
+        """Record that a source did not deliver a part."""
         if fetch.source is None:
             return
         fetch.tried.add(fetch.source)
@@ -193,26 +193,26 @@
         fetch.backoff.failures += 1
         fetch.backoff.until = now
 
-    def part_left_out(self, digest: str, nothing: bool, now: float) -> None:
-        """Note that an answer did not bring a part.
+    def part_omitted(self, digest: str, empty_answer: bool, now: float) -> None:
+        """Record that an answer omitted a part.
 
-        Where it brought others the part may just not have fitted, and the same
+        If it contained other parts, this one may just not have fitted, and the same
         peer may be asked again.
         """
         fetch = self.fetches.get(digest)
-        if fetch and nothing:
+        if fetch and empty_answer:
             self.failed(fetch, now)
         elif fetch:
             fetch.source = None
 
     def part_failed(self, digest: str, now: float) -> None:
-        """Note that a part did not come, or came corrupted."""
+        """Record that a part could not be fetched or was corrupt."""
         fetch = self.fetches.get(digest)
         if fetch:
             self.failed(fetch, now)
 
 
-def _has(link: Link, versions: list[DigestedHead]) -> bool:
+def _shows_any(link: Link, versions: list[DigestedHead]) -> bool:
     status = link.status
     shown = {status.root, status.refused_root}
     return any(one.root in shown for one in versions)
--- a/sequoiaspoke/core/spread/strategy.py
+++ b/sequoiaspoke/core/spread/strategy.py
@@ -1,7 +1,7 @@
-"""How versions spread; one is used, the others are measured against it.
+"""Strategies to distribute versions: one for use, the others for comparison.
 
-The way in which every node watches the platform needs no peers at all and is a
-source of its own, beside the one that runs this core.
+The strategy `watch-all`, in which every node watches the platform, needs no peers
+and is a configuration source of its own, apart from the one that runs this core.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from sequoiaspoke.core.snapshot.gate import DigestedHead
 
-# Changed parts that an announcement lists itself; a larger change is asked for.
+# Changed parts that an announcement may list; peers ask for larger changes.
 ANNOUNCED_PARTS = 16
 
 
 def difference(target: DigestedHead, base: DigestedHead | None) -> HeadDelta:
-    """Return a head as its difference from another, or whole."""
+    """Return a head as its difference from another, or whole without a base."""
     if base is None:
         return HeadDelta(target.version, target.root, "", dict(target.head.parts))
     old, new = base.head.parts, target.head.parts
@@ -29,29 +29,29 @@
 
 
 class Strategy(ABC):
-    """What varies between the ways to spread versions."""
+    """What differs between the ways to distribute versions."""
 
     reuses_parts = True
 
     @abstractmethod
-    def announced(
+    def announced_delta(
         self, target: DigestedHead, base: DigestedHead | None
     ) -> HeadDelta | None:
-        """Return what an announcement says of the head itself."""
+        """Return the difference that an announcement carries, if any."""
 
-    def summary(self, current: DigestedHead | None) -> dict[str, str]:
-        """Return the digests that every heartbeat carries beside the root's."""
+    def heartbeat_digests(self, current: DigestedHead | None) -> dict[str, str]:
+        """Return the digests that heartbeats carry besides that of the root."""
         del current
         return {}
 
 
 class RootThenParts(Strategy):
-    """Compare one digest; descend to heads and parts only where it differs."""
+    """Compare one digest; fetch heads and parts only if it differs."""
 
-    def announced(
+    def announced_delta(
         self, target: DigestedHead, base: DigestedHead | None
     ) -> HeadDelta | None:
-        """Tell the difference while it is small."""
+        """Return the difference if it is small."""
         if base is None:
             return None
         delta = difference(target, base)
@@ -62,20 +62,20 @@
 class FlatDigests(RootThenParts):
     """Compare the digests of all parts with every heartbeat."""
 
-    def summary(self, current: DigestedHead | None) -> dict[str, str]:
+    def heartbeat_digests(self, current: DigestedHead | None) -> dict[str, str]:
         """Return the digest of every part."""
         return dict(current.head.parts) if current else {}
 
 
 class WholeSnapshots(Strategy):
-    """Move every part with every version."""
+    """Send every part with every version."""
 
     reuses_parts = False
 
-    def announced(
+    def announced_delta(
         self, target: DigestedHead, base: DigestedHead | None
     ) -> HeadDelta | None:
-        """Tell the whole head."""
+        """Return the whole head."""
         del base
         return difference(target, None)
 
