--- a/sequoiaspoke/core/mesh/records.py
+++ b/sequoiaspoke/core/mesh/records.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class EndpointRecord(PublishedEndpoint):
-    """A published endpoint and until when this node takes it for cold."""
+    """A published endpoint and until when this node considers it cold."""
 
     cold_until: float = 0.0
 
--- a/sequoiaspoke/sidecar/app.py
+++ b/sequoiaspoke/sidecar/app.py
@@ -36,7 +36,7 @@
 
 # Seconds between two ticks, with and without calls in progress. A final answer may be
 # up to half a second late. A node of a large fleet is idle most of the time, and a tick
-# without work costs a tenth of a call.
+# without work takes a tenth of the processor time of a call.
 TICK_SECONDS, IDLE_TICK_SECONDS = 0.1, 0.3
 # Seconds between two checks of the callers' connections. Their timeouts are seconds
 # long, and there may be hundreds of them.
@@ -218,7 +218,7 @@
             service=self.settings.service,
             incarnation=self.incarnation,
         )
-        # Imported modules are never freed, so that the collector can skip them.
+        # Imported modules are never freed, so the garbage collector can skip them.
         gc.freeze()
         gc.enable()
         follower = asyncio.ensure_future(self.follower.run())
--- a/sequoiaspoke/sidecar/callerserver.py
+++ b/sequoiaspoke/sidecar/callerserver.py
@@ -65,7 +65,7 @@
     pending : deque of Exchange
         Requests whose answers have not been sent, in their order.
     input_ended : bool
-        Whether whatever else the caller sends is ignored.
+        Whether further data from the caller is ignored.
     head_size : int
         Bytes of the incomplete head so far.
     chunk_body_bytes : int
--- a/sequoiaspoke/sidecar/deadlines.py
+++ b/sequoiaspoke/sidecar/deadlines.py
@@ -16,8 +16,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Resolution of the event loop's timers in seconds. A timer set for the exact time runs
-# a moment early and is set again in each turn of the loop, 200 times a second.
+# Resolution of the event loop's timers in seconds. A timer set for the exact time may
+# fire a moment early, with nothing due, and would be set again in each iteration of the
+# loop, 200 times a second.
 TIMER_RESOLUTION = 0.001
 # Size of the heap below which cancelled callbacks are not removed.
 MIN_SWEEP_SIZE = 256
--- a/sequoiaspoke/sidecar/homecall.py
+++ b/sequoiaspoke/sidecar/homecall.py
@@ -20,7 +20,7 @@
     Attributes
     ----------
     rank : int
-        Its place among the calls that wait for a slot; the lowest goes first.
+        Rank in the queue; the lowest goes first.
     on_time, deadline : float
         Until when an answer is on time, and until when it is of any use, by this node's
         clock.
--- a/sequoiaspoke/sidecar/items.py
+++ b/sequoiaspoke/sidecar/items.py
@@ -14,8 +14,9 @@
     from sequoiaspoke.sidecar.logs import EventLog
     from sequoiaspoke.sidecar.source import ItemDecoder, StoreItem
 
-# Keys whose refused item is remembered, as reading the whole store again returns it
-# again. Beyond that all are forgotten, which costs another log line for each.
+# Number of keys whose last refused item is remembered, so that it is not logged again
+# when all items are read again. Beyond that all are forgotten, at the cost of another
+# log line for each.
 MAX_REFUSED_KEYS = 1000
 # Characters of a key or reason in the log; either may come from another writer.
 MAX_LOGGED_LENGTH = 200
--- a/sequoiaspoke/sidecar/peers.py
+++ b/sequoiaspoke/sidecar/peers.py
@@ -21,9 +21,9 @@
     from sequoiaspoke.sidecar.pending import LinkIdentity
     from sequoiaspoke.sidecar.state import MeshState
 
-# Links to nodes of the same zone that stay open without calls. Through them a node
-# that starts while the store refuses it is found and sent what it needs. With four, it
-# is reached unless all four nodes fail together with it.
+# Number of links to nodes of the same zone that stay open without calls. A node that
+# starts while it cannot read the store is detected on the links of others to it and is
+# sent the state on them, unless all four nodes fail together with it.
 PERSISTENT_LINKS = 4
 # Nodes that are asked for newer knowledge at a time, and seconds between two rounds.
 REQUEST_PEERS, REQUEST_INTERVAL = 2, 0.5
--- a/sequoiaspoke/sidecar/statuspage.py
+++ b/sequoiaspoke/sidecar/statuspage.py
@@ -14,7 +14,7 @@
 
 
 def status_page(node: Sidecar) -> bytes:
-    """Return the status of a node as JSON, with the keys of the other node kind."""
+    """Return the status as JSON, with the keys that the `status` command reads."""
     state, home, entry = node.state, node.home, node.entry
     now = clock.now()
     cold = home.admission.cold_start
