--- a/sequoiaspoke/node/app.py
+++ b/sequoiaspoke/node/app.py
@@ -124,7 +124,7 @@
         self.callers.draining = self.mesh.draining = True
         log.info("node-draining", in_flight=self.in_flight())
         await asyncio.sleep(self.settings.node.drain)
-        await self.grants.returned(self.settings.node.grace)
+        await self.grants.wait_until_returned(self.settings.node.grace)
         self.callers.server.stop()
         try:
             async with asyncio.timeout(self.settings.node.grace):
--- a/sequoiaspoke/node/directcalls.py
+++ b/sequoiaspoke/node/directcalls.py
@@ -23,7 +23,7 @@
     from sequoiaspoke.node.home import Home, HomeCall
     from sequoiaspoke.settings.schema import Settings
 
-LOOK_SECONDS = 0.1  # between looks at which grants to ask for or renew
+POLL_SECONDS = 0.1  # between looks at which grants to ask for or renew
 
 
 class DirectCalls:
@@ -42,27 +42,29 @@
         self.mesh_pools = mesh_pools
         self.enabled = bool(settings.routing.grant_address)
         self.core = GrantEntry(settings.routing, settings.node.name)
-        self.homes: dict[str, Address] = {}
-        self.upstreams: dict[str, Pool] = {}
+        self.home_addresses: dict[str, Address] = {}
+        self.upstream_pools: dict[str, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.looking = False
+        self.timer_set = False
 
     def take(self, endpoint: Endpoint, call: HomeCall) -> int:
         """Return the grant under which a call may go directly, or 0."""
         if not self.enabled:
             return 0
-        self.homes[endpoint.target] = Address(endpoint.address, endpoint.mesh_port)
+        self.home_addresses[endpoint.target] = Address(
+            endpoint.address, endpoint.mesh_port
+        )
         loop = asyncio.get_running_loop()
-        if not self.looking:
-            self.looking = True
-            loop.call_later(LOOK_SECONDS, self.look)
+        if not self.timer_set:
+            self.timer_set = True
+            loop.call_later(POLL_SECONDS, self.send_due_questions)
         return self.core.take(endpoint.target, call.deadline, loop.time())
 
     async def run(self, grant: int, call: HomeCall) -> Answer:
         """Run a call at the upstream itself."""
         target = call.target
         try:
-            answer = await self.home.hand_over(call, self.upstreams[target])
+            answer = await self.home.hand_over(call, self.upstream_pools[target])
         except BaseException as error:
             self.send(self.core.done(target, grant))
             if isinstance(error, UpstreamShedError):
@@ -74,15 +76,15 @@
         answer.on_close(lambda: self.send(self.core.done(target, grant)))
         return answer
 
-    def look(self) -> None:
+    def send_due_questions(self) -> None:
         """Ask the homes what is due."""
-        self.looking = False
+        self.timer_set = False
         loop = asyncio.get_running_loop()
         for question in self.core.due_questions(loop.time()):
             self.send(question)
         if self.core.held_grants:
-            self.looking = True
-            loop.call_later(LOOK_SECONDS, self.look)
+            self.timer_set = True
+            loop.call_later(POLL_SECONDS, self.send_due_questions)
 
     def send(self, question: Question | None) -> None:
         """Send a message beside the calls."""
@@ -117,7 +119,7 @@
 
     async def post(self, question: Question) -> Answer:
         """Send a message and wait for its whole answer."""
-        address = self.homes[question.target]
+        address = self.home_addresses[question.target]
         if address not in self.mesh_pools:
             self.mesh_pools[address] = Pool(address, self.settings.limits)
         headers = HTTPHeaders({names.GRANT: write_message(question.message)})
@@ -133,22 +135,22 @@
 
     def connect(self, target: str, address: Address) -> None:
         """Keep a pool to a target's upstream."""
-        pool = self.upstreams.get(target)
+        pool = self.upstream_pools.get(target)
         if pool and pool.address == address:
             return
         if pool:
             pool.close()
-        self.upstreams[target] = Pool(address, self.settings.limits)
+        self.upstream_pools[target] = Pool(address, self.settings.limits)
 
     def retain(self, targets: frozenset[str]) -> None:
         """Forget targets that are gone, once no direct call runs there."""
         for target in self.core.held_grants.keys() - targets:
             self.core.forget(target)
-        for target in self.upstreams.keys() - self.core.held_grants.keys():
-            self.upstreams.pop(target).close()
+        for target in self.upstream_pools.keys() - self.core.held_grants.keys():
+            self.upstream_pools.pop(target).close()
 
     def close(self) -> None:
         """Close the idle connections to upstreams."""
         self.core.held_grants.clear()
-        for pool in self.upstreams.values():
+        for pool in self.upstream_pools.values():
             pool.close()
--- a/sequoiaspoke/node/entry.py
+++ b/sequoiaspoke/node/entry.py
@@ -32,7 +32,7 @@
 from sequoiaspoke.node import headers as names
 from sequoiaspoke.node.attempts import Attempts
 from sequoiaspoke.node.home import HomeCall
-from sequoiaspoke.node.keyedentry import KeyedEntry, told_of_key
+from sequoiaspoke.node.keyedentry import KeyedEntry, refusal_for_caller
 from sequoiaspoke.node.pipe import ReplayableBody
 from sequoiaspoke.node.server import CallHandler
 
@@ -83,7 +83,7 @@
         try:
             await self.decide(call)
         except CallError as error:
-            told = told_of_key(call.headers, error)
+            told = refusal_for_caller(call.headers, error)
             self.counters.failed(told)
             raise told from error
         finally:
--- a/sequoiaspoke/node/grantheader.py
+++ b/sequoiaspoke/node/grantheader.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class ReadAnswer:
+class ParsedAnswer:
     """A home's answer, with where the upstream is if it is granted."""
 
     answer: GrantAnswer
@@ -65,15 +65,15 @@
     return f"{GRANTED} {answer.grant} {answer.connections} {lease} {address}"
 
 
-def read_answer(value: str) -> ReadAnswer | None:
+def read_answer(value: str) -> ParsedAnswer | None:
     """Read an answer, or return None if it is none."""
     words = value.split()
     try:
         if words[0] == DENIED:
-            return ReadAnswer(Denied(DenyReason(words[1])))
+            return ParsedAnswer(Denied(DenyReason(words[1])))
         grant, connections, lease = map(int, words[1:4])
         host, _, port = words[4].rpartition(":")
         answer = Granted(grant, connections, lease / MILLISECONDS)
-        return ReadAnswer(answer, Address(host, int(port)))
+        return ParsedAnswer(answer, Address(host, int(port)))
     except (ValueError, IndexError):
         return None
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -18,8 +18,8 @@
     from sequoiaspoke.node.server import IncomingCall
     from sequoiaspoke.settings.schema import Settings
 
-LOOK_SECONDS = 0.05
-HELD_PART = 0.5  # of the lease, for which a renewal waits for a recall
+POLL_SECONDS = 0.05
+MAX_HOLD_SHARE = 0.5  # of the lease, for which a renewal waits for a recall
 
 
 class GrantServer:
@@ -35,7 +35,7 @@
         self.home = home
         self.core = GrantHome(settings.routing)
         self.recall = asyncio.Event()
-        home.gate.on_wait = self.look
+        home.gate.on_wait = self.recall_if_needed
         if not settings.routing.grant_address:
             self.core.close()
 
@@ -45,52 +45,54 @@
         headers = HTTPHeaders({names.LOAD: write_load(self.home.report())})
         if isinstance(message, Ask):
             if message.grant:
-                await self.hold()
+                await self.hold_renewal()
             headers[names.GRANT] = self.ask(message)
         else:
             self.core.returned(message)
-        self.take_over()
+        self.update_admission()
         call.writer.whole(200, headers, b"")
 
     def ask(self, message: Ask) -> str:
         """Return the answer to a question as a header's value."""
         now = asyncio.get_running_loop().time()
         self.core.expire(now)
-        answer = self.core.ask(message, self.room(), now)
+        answer = self.core.ask(message, self.capacity(), now)
         address = self.settings.routing.grant_address
         return write_answer(answer, address if isinstance(answer, Granted) else "")
 
-    async def hold(self) -> None:
+    async def hold_renewal(self) -> None:
         """Wait for a recall, for a part of the lease at most."""
         if self.core.closed:
             return
         self.recall.clear()
-        self.look()
+        self.recall_if_needed()
         try:
-            async with asyncio.timeout(HELD_PART * self.settings.routing.grant_lease):
+            async with asyncio.timeout(
+                MAX_HOLD_SHARE * self.settings.routing.grant_lease
+            ):
                 await self.recall.wait()
         except TimeoutError:
             return
 
-    def look(self) -> None:
+    def recall_if_needed(self) -> None:
         """Answer held renewals at once if their grants must come back."""
         now = asyncio.get_running_loop().time()
-        if self.core.must_recall(self.room(), now):
+        if self.core.must_recall(self.capacity(), now):
             self.recall.set()
 
-    def room(self) -> Capacity:
+    def capacity(self) -> Capacity:
         """Return what admission says of the slots."""
         admission = self.home.gate.admission
         free = admission.free_slots()
         return Capacity(admission.limit.current(), free, len(admission.queue))
 
-    def take_over(self) -> None:
+    def update_admission(self) -> None:
         """Let admission count what is lent, and use what came back."""
         gate = self.home.gate
         gate.admission.reserved = self.core.reserved
         gate.act(gate.admission.tick(asyncio.get_running_loop().time()))
 
-    async def returned(self, seconds: float) -> None:
+    async def wait_until_returned(self, seconds: float) -> None:
         """Wait until no entry runs a call at the upstream under a grant.
 
         A stop that did not would cut calls that this node cannot see.
@@ -98,7 +100,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while self.core.reserved and loop.time() < end:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             self.core.expire(loop.time())
 
     def drain(self) -> None:
--- a/sequoiaspoke/node/keyedentry.py
+++ b/sequoiaspoke/node/keyedentry.py
@@ -36,11 +36,11 @@
 
 # Failures on the way to the home, which may be asked again: its ledger keeps the key
 # from running twice.
-BROKEN = (ConnectError, ConnectionLostError, TruncatedAnswerError)
+CONNECTION_FAILURES = (ConnectError, ConnectionLostError, TruncatedAnswerError)
 # What one node tells another while a version crosses.
-CROSSING = (NotReadyError, WrongHomeError)
-FIRST_PAUSE = 0.05  # seconds; a version that crosses reaches the other node in less
-LONGEST_PAUSE = 1.0
+VERSION_MISMATCHES = (NotReadyError, WrongHomeError)
+MIN_BACKOFF = 0.05  # seconds; a version that crosses reaches the other node in less
+MAX_BACKOFF = 1.0
 
 
 class KeyedEntry:
@@ -68,17 +68,19 @@
         """
         key = parse_key(call.headers[names.IDEMPOTENCY_KEY], self.settings)
         results: list[AttemptResult] = []
-        pause = FIRST_PAUSE
+        backoff = MIN_BACKOFF
         while True:
             try:
                 return await self.attempt(call, key)
             except CallError as error:
                 results.append(AttemptResult(error.ran, error.settled))
-                if not may_ask_again(error, call, pause):
-                    raise told(call.headers, error, tuple(results)) from error
+                if not can_retry(error, call, backoff):
+                    raise error_for_caller(
+                        call.headers, error, tuple(results)
+                    ) from error
                 self.attempts.counters.retried[error.code] += 1
-            await asyncio.sleep(pause * self.rng.uniform(0.5, 1.0))
-            pause = min(2 * pause, LONGEST_PAUSE)
+            await asyncio.sleep(backoff * self.rng.uniform(0.5, 1.0))
+            backoff = min(2 * backoff, MAX_BACKOFF)
             if call.body:
                 call.body.rewind()
 
@@ -110,24 +112,24 @@
         )
 
 
-def may_ask_again(error: CallError, call: HomeCall, pause: float) -> bool:
+def can_retry(error: CallError, call: HomeCall, backoff: float) -> bool:
     """Return whether another attempt can come to something."""
-    broken = isinstance(error, BROKEN) and not error.remote
-    if not broken and not isinstance(error, CROSSING):
+    connection_failed = isinstance(error, CONNECTION_FAILURES) and not error.remote
+    if not connection_failed and not isinstance(error, VERSION_MISMATCHES):
         return False
     if call.body is not None and not call.body.replayable:
         return False
-    return asyncio.get_running_loop().time() + pause < call.deadline
+    return asyncio.get_running_loop().time() + backoff < call.deadline
 
 
-def told_of_key(headers: HTTPHeaders, error: CallError) -> CallError:
+def refusal_for_caller(headers: HTTPHeaders, error: CallError) -> CallError:
     """Return what to tell a caller whose call this node itself refused."""
     if names.IDEMPOTENCY_KEY not in headers:
         return error
-    return told(headers, error, (AttemptResult(error.ran, error.settled),))
+    return error_for_caller(headers, error, (AttemptResult(error.ran, error.settled),))
 
 
-def told(
+def error_for_caller(
     headers: HTTPHeaders, error: CallError, results: tuple[AttemptResult, ...]
 ) -> CallError:
     """Return the failure with what is known of all attempts with the key."""
@@ -135,6 +137,8 @@
     ran = tell_caller(results, first)
     if ran is error.ran:
         return error
-    known = RemoteError(error.code, error.status, ran, error.detail, error.retry_after)
-    known.settled = error.settled
-    return known
+    combined = RemoteError(
+        error.code, error.status, ran, error.detail, error.retry_after
+    )
+    combined.settled = error.settled
+    return combined
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -31,8 +31,8 @@
     WrongHomeError,
 )
 from sequoiaspoke.node import headers as names
-from sequoiaspoke.node.keyedwork import (
-    Work,
+from sequoiaspoke.node.keyedrun import (
+    KeyRun,
     fingerprint,
     read_body,
     refusal,
@@ -52,8 +52,8 @@
     from sequoiaspoke.settings.schema import Settings
 
 MILLISECONDS = 1000
-BATCH = 20  # issued keys in one answer; they are good for the retention
-MINT_STEP = 0.001  # seconds; a key's minted time is rounded down to it
+KEYS_PER_ANSWER = 20  # issued keys in one answer; they are good for the retention
+KEY_TIME_RESOLUTION = 0.001  # seconds; a key's minted time is rounded down to it
 
 
 class KeyedHome:
@@ -78,7 +78,7 @@
         started = moment().steady
         self.witness = Witness(self.settings, node.name, node.zone, started)
         self.link = WitnessLink(config, self.core, self.witness)
-        self.works: dict[str, Work] = {}
+        self.runs: dict[str, KeyRun] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.counters: Counter[str] = Counter()
         home.keyed = self
@@ -93,10 +93,10 @@
             await asyncio.wait(self.tasks)
         ended = self.core.ledger.ended
         while ended:
-            left = ended[-1].finished + self.settings.linger - moment().steady
-            if left <= 0:
+            remaining = ended[-1].finished + self.settings.linger - moment().steady
+            if remaining <= 0:
                 return
-            await asyncio.sleep(left)
+            await asyncio.sleep(remaining)
 
     def ready(self) -> bool:
         """Return whether keys minted now may run here."""
@@ -105,7 +105,7 @@
             return True
         now = moment()
         tenure = self.core.tenure
-        since = tenure.begins() + self.settings.clock_margin + MINT_STEP
+        since = tenure.begins() + self.settings.clock_margin + KEY_TIME_RESOLUTION
         return tenure.is_open(now) and since <= now.wall
 
     def close(self) -> None:
@@ -144,7 +144,7 @@
             raise DrainingError("no keys of a process that is about to end")
         self.counters["issue"] += 1
         identity, wall = self.core.identity, moment().wall
-        keys = [issue_key(identity, wall, self.rng) for _ in range(BATCH)]
+        keys = [issue_key(identity, wall, self.rng) for _ in range(KEYS_PER_ANSWER)]
         text = "".join(f"{key}\n" for key in keys).encode()
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(text))))
         return replayed(KeptAnswer(200, "OK", headers, text), call.method, repeat=False)
@@ -174,31 +174,31 @@
             raise refusal(decision)
         if isinstance(decision, Replay):
             return replayed(decision.answer, call.method, repeat=True)
-        joins = isinstance(decision, Join)
-        if not joins:
-            self.begin(call, key, body)
-        return await self.wait(self.works[key.text], call, key, joins)
+        joined = isinstance(decision, Join)
+        if not joined:
+            self.start_run(call, key, body)
+        return await self.wait(self.runs[key.text], call, key, joined)
 
-    def begin(self, call: HomeCall, key: Key, body: bytes) -> None:
+    def start_run(self, call: HomeCall, key: Key, body: bytes) -> None:
         """Run a new key, whatever becomes of its caller.
 
         A caller who goes away mid-way would otherwise cancel a call that the
         upstream already works on, and its repeat would get no answer.
         """
         loop = asyncio.get_running_loop()
-        work = Work(loop.create_future())
-        self.works[key.text] = work
+        key_run = KeyRun(loop.create_future())
+        self.runs[key.text] = key_run
         attempt = replace(
             call,
             body=WholeBody(body) if call.body else None,
-            before_send=lambda: self.check(key),
+            before_send=lambda: self.check_hand_over(key),
             patience=self.settings.patience,
         )
-        task = loop.create_task(self.work(work, attempt, key))
+        task = loop.create_task(self.execute(key_run, attempt, key))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def check(self, key: Key) -> None:
+    def check_hand_over(self, key: Key) -> None:
         """Refuse a call that may no longer be handed over."""
         self.link.refresh()
         decision = self.core.hand_over(key, moment())
@@ -206,31 +206,31 @@
             self.counters["refused-at-hand-over"] += 1
             raise refusal(decision)
 
-    async def work(self, work: Work, call: HomeCall, key: Key) -> None:
+    async def execute(self, key_run: KeyRun, call: HomeCall, key: Key) -> None:
         """Run a call and settle its key."""
         try:
             answer = await self.home.run_now(call)
-            kept = await self.keep(work, answer)
+            kept = await self.read_answer(key_run, answer)
             self.core.finished(key, kept, moment())
-            work.done.set_result(kept)
+            key_run.done.set_result(kept)
         except CallError as error:
-            self.fail(work, key, error)
+            self.fail(key_run, key, error)
         except BaseException as error:
-            self.fail(work, key, CallError(f"internal: {type(error).__name__}"))
+            self.fail(key_run, key, CallError(f"internal: {type(error).__name__}"))
             log.opt(exception=error).error("keyed-call-crashed", key=key.text)
             raise
         finally:
-            self.works.pop(key.text, None)
+            self.runs.pop(key.text, None)
 
-    def fail(self, work: Work, key: Key, error: CallError) -> None:
+    def fail(self, key_run: KeyRun, key: Key, error: CallError) -> None:
         """Settle a key whose call got no whole answer."""
         failure = refusal(self.core.failed(key, error, moment()))
         failure.settled = failure.settled or error.settled
-        if not work.done.done():
-            work.done.set_exception(failure)
-            work.done.exception()
+        if not key_run.done.done():
+            key_run.done.set_exception(failure)
+            key_run.done.exception()
 
-    async def keep(self, work: Work, answer: Answer) -> KeptAnswer:
+    async def read_answer(self, key_run: KeyRun, answer: Answer) -> KeptAnswer:
         """Read a short answer whole; leave a long one to the first caller."""
         chunks: list[bytes] = []
         size = 0
@@ -239,39 +239,41 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > self.settings.answer_bytes:
-                self.stream(work, answer, b"".join(chunks))
+                self.stream(key_run, answer, b"".join(chunks))
                 return KeptAnswer(answer.status, answer.reason, headers, None)
         answer.close()
         return KeptAnswer(answer.status, answer.reason, headers, b"".join(chunks))
 
-    def stream(self, work: Work, answer: Answer, start: bytes) -> None:
+    def stream(self, key_run: KeyRun, answer: Answer, start: bytes) -> None:
         """Hand the rest of a long answer to the first caller, if it waits."""
-        if work.alone:
+        if key_run.first_caller_gone:
             answer.close()
             return
         answer.body.unread(start)
-        work.stream = answer
+        key_run.stream = answer
 
-    async def wait(self, work: Work, call: HomeCall, key: Key, joins: bool) -> Answer:
+    async def wait(
+        self, key_run: KeyRun, call: HomeCall, key: Key, joined: bool
+    ) -> Answer:
         """Wait for a run's answer until the call's own deadline."""
         try:
             async with asyncio.timeout_at(call.deadline):
-                kept = await asyncio.shield(work.done)
+                kept = await asyncio.shield(key_run.done)
         except TimeoutError:
-            work.alone = work.alone or not joins
-            raise self.too_late(key) from None
+            key_run.first_caller_gone = key_run.first_caller_gone or not joined
+            raise self.deadline_error(key) from None
         except asyncio.CancelledError:
-            work.alone = work.alone or not joins
-            if work.stream and not joins:
-                work.stream.close()
+            key_run.first_caller_gone = key_run.first_caller_gone or not joined
+            if key_run.stream and not joined:
+                key_run.stream.close()
             raise
-        if work.stream and not joins:
-            return work.stream
+        if key_run.stream and not joined:
+            return key_run.stream
         if kept.body is None:
             raise AnswerNotKeptError
-        return replayed(kept, call.method, repeat=joins)
+        return replayed(kept, call.method, repeat=joined)
 
-    def too_late(self, key: Key) -> CallError:
+    def deadline_error(self, key: Key) -> CallError:
         """Return what to tell when the deadline passes first."""
         entry = self.core.ledger.get(key)
         if entry is None or entry.state is not State.QUEUED:
--- a/sequoiaspoke/node/keyedwork.py
+++ b/sequoiaspoke/node/keyedrun.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Work:
+class KeyRun:
     """One run of a key, apart from the callers that wait for it.
 
     Attributes
@@ -37,7 +37,7 @@
 
     done: asyncio.Future[KeptAnswer]
     stream: Answer | None = None
-    alone: bool = False
+    first_caller_gone: bool = False
 
 
 def refusal(decision: Refuse) -> CallError:
--- a/sequoiaspoke/node/peerlink.py
+++ b/sequoiaspoke/node/peerlink.py
@@ -51,7 +51,7 @@
         """Take a message."""
 
 
-class Frames:
+class FrameSplitter:
     """Cuts a stream of bytes into frames."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
             del self.buffer[:end]
         return frames
 
-    def inside(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Return whether the stream stands within a frame."""
         return bool(self.buffer)
 
@@ -91,7 +91,7 @@
         self.listener = listener
         self.streams: dict[int, IOStream] = {}
         self.connecting: dict[int, asyncio.Task[None]] = {}
-        self.accepted = itertools.count(-1, -1)
+        self.accepted_numbers = itertools.count(-1, -1)
         self.client = TCPClient(resolver=NumericResolver())
         self.counters: Counter[str] = Counter()
         self.bytes_sent = 0
@@ -100,7 +100,7 @@
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
         """Follow a connection that another node opened; called by the library."""
         del address
-        await self.follow(next(self.accepted), stream)
+        await self.read_messages(next(self.accepted_numbers), stream)
 
     def connect(self, number: int, address: str, port: int) -> None:
         """Open a connection; the listener hears how it went."""
@@ -120,29 +120,29 @@
             self.listener.link_down(number)
             return
         # Without a task here, nobody else holds the connection's reader.
-        await self.follow(number, stream)
+        await self.read_messages(number, stream)
         self.connecting.pop(number, None)
 
-    async def follow(self, number: int, stream: IOStream) -> None:
+    async def read_messages(self, number: int, stream: IOStream) -> None:
         """Read a connection until it ends."""
         stream.set_nodelay(True)
         stream.max_write_buffer_size = UNSENT_LIMIT
         self.streams[number] = stream
         self.listener.link_up(number)
-        frames = Frames()
+        frames = FrameSplitter()
         try:
             while True:
                 data = await stream.read_bytes(READ_BYTES, partial=True)
-                self.take(number, frames, data)
+                self.dispatch(number, frames, data)
         except StreamClosedError:
-            if frames.inside():
+            if frames.has_partial_frame():
                 self.counters["frame-truncated"] += 1
         except MessageError:
             self.counters["message-invalid"] += 1
         finally:
-            self.forget(number)
+            self.drop(number)
 
-    def take(self, number: int, frames: Frames, data: bytes) -> None:
+    def dispatch(self, number: int, frames: FrameSplitter, data: bytes) -> None:
         """Hand over the messages that have come in whole."""
         self.bytes_received += len(data)
         for frame in frames.feed(data):
@@ -152,7 +152,7 @@
             self.counters["message-received"] += 1
             self.listener.received(number, message_number, message)
 
-    def forget(self, number: int) -> None:
+    def drop(self, number: int) -> None:
         """Drop a connection that ended."""
         stream = self.streams.pop(number, None)
         if stream:
--- a/sequoiaspoke/node/witnesslink.py
+++ b/sequoiaspoke/node/witnesslink.py
@@ -28,8 +28,8 @@
 
 TICKS_PER_ROUND = 4
 CLOCK_READINGS = 5
-CLOSE_TOGETHER = 0.002  # seconds
-Sender = tuple[str, int]
+MAX_READING_GAP = 0.002  # seconds
+SocketAddress = tuple[str, int]
 
 
 def moment() -> Moment:
@@ -41,7 +41,7 @@
     for _ in range(CLOCK_READINGS):
         steady = time.clock_gettime(time.CLOCK_BOOTTIME)
         wall = time.time()
-        if time.clock_gettime(time.CLOCK_BOOTTIME) - steady < CLOSE_TOGETHER:
+        if time.clock_gettime(time.CLOCK_BOOTTIME) - steady < MAX_READING_GAP:
             break
     return Moment(steady, wall)
 
@@ -55,7 +55,7 @@
         self.witness = witness
         self.snapshot: Snapshot | None = None
         self.revision = 0
-        self.addresses: dict[str, Sender] = {}
+        self.addresses: dict[str, SocketAddress] = {}
         self.transport: asyncio.DatagramTransport | None = None
         self.counters: Counter[str] = Counter()
         period = core.settings.ask_every / TICKS_PER_ROUND * 1000
@@ -130,7 +130,7 @@
         if address:
             self.send(question, question.round, address)
 
-    def send(self, message: Question | Answer, number: int, to: Sender) -> None:
+    def send(self, message: Question | Answer, number: int, to: SocketAddress) -> None:
         """Send one datagram; nobody learns whether it arrives."""
         payload = encode_message(number, message)
         self.counters["datagrams-sent"] += 1
--- a/sequoiaspoke/tests/test_grantsockets.py
+++ b/sequoiaspoke/tests/test_grantsockets.py
@@ -20,7 +20,7 @@
 RATE = 0.1
 
 
-def lend(entry, home):
+def enable_grants(entry, home):
     """Let one node grant connections to its upstream and another use them."""
     grants = home.node.grants
     address = f"127.0.0.1:{home.upstream.port}"
@@ -50,7 +50,7 @@
         async def prepared(deployment):
             near, far = deployment.sites
             self.near = near
-            direct = lend(near, far)
+            direct = enable_grants(near, far)
             near.leaving = True
             version = deployment.publish(rules(self.RULES))
             await deployment.converged(version, 10)
--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -27,7 +27,7 @@
     return request("POST", path, f"{names.IDEMPOTENCY_KEY}: {key}", *lines, body=body)
 
 
-def told(answer):
+def outcome(answer):
     """Return status, reason and whether it ran."""
     return status(answer), header(answer, names.REASON), header(answer, names.RAN)
 
@@ -63,7 +63,7 @@
         async def test(deployment, ports, key):
             first = await raw(ports[0], book(key))
             again = await raw(ports[1], book(key))
-            self.assertEqual((200, "", "ran"), told(first))
+            self.assertEqual((200, "", "ran"), outcome(first))
             self.assertEqual(body_of(first), body_of(again))
             self.assertEqual(
                 ("", "yes"), (header(first, names.REPEAT), header(again, names.REPEAT))
@@ -99,7 +99,7 @@
             await until(lambda: runs(deployment) == 1)
             call.cancel()
             again = await raw(ports[0], slow)
-            self.assertEqual((200, "", "ran"), told(again))
+            self.assertEqual((200, "", "ran"), outcome(again))
             self.assertEqual("yes", header(again, names.REPEAT))
             self.assertEqual(1, runs(deployment))
 
@@ -115,7 +115,7 @@
             first = await raw(ports[1], request("GET", LARGE, line))
             again = await raw(ports[1], request("GET", LARGE, line))
             self.assertEqual(200_000, len(body_of(first)))
-            self.assertEqual((410, "answer-not-kept", "ran"), told(again))
+            self.assertEqual((410, "answer-not-kept", "ran"), outcome(again))
 
         self.run_keyed(test)
 
@@ -123,7 +123,7 @@
         async def test(deployment, ports, key):
             await raw(ports[0], book(key))
             other = await raw(ports[1], book(key, body=b"crusher 8"))
-            self.assertEqual((422, "key-reused"), told(other)[:2])
+            self.assertEqual((422, "key-reused"), outcome(other)[:2])
             self.assertEqual(1, runs(deployment))
 
         self.run_keyed(test)
@@ -142,7 +142,7 @@
             again = await raw(ports[1], book(key))
             self.assertEqual(body_of(first), body_of(again))
             fresh = await raw(ports[1], book(f"{ZONE}/{uuid7()}"))
-            self.assertEqual((503, "draining", "not-run"), told(fresh))
+            self.assertEqual((503, "draining", "not-run"), outcome(fresh))
             home.keyed.settings = replace(home.keyed.settings, linger=0.0)
             stop.cancel()
             home.draining = False  # so that the deployment can stop it in full
@@ -155,9 +155,9 @@
         async def test(deployment, ports, key):
             call = book(key, f"Standin-Fault: {name}")
             first = await raw(ports[1], call)
-            self.assertEqual(expected, told(first)[1])
+            self.assertEqual(expected, outcome(first)[1])
             again = await raw(ports[1], book(key))
-            self.assertEqual((409, "key-outcome-unknown"), told(again)[:2])
+            self.assertEqual((409, "key-outcome-unknown"), outcome(again)[:2])
             self.assertEqual(ran, runs(deployment))
 
         self.run_keyed(test)
@@ -183,10 +183,10 @@
             upstream = deployment.sites[0].upstream
             upstream.drain()
             first = await raw(ports[1], book(key))
-            self.assertEqual((503, "upstream-shed", "not-run"), told(first))
+            self.assertEqual((503, "upstream-shed", "not-run"), outcome(first))
             upstream.draining = False
             again = await raw(ports[0], book(key))
-            self.assertEqual((503, "key-refused", "not-run"), told(again))
+            self.assertEqual((503, "key-refused", "not-run"), outcome(again))
             self.assertEqual(0, runs(deployment))
 
         self.run_keyed(test)
@@ -204,9 +204,9 @@
             await until(lambda: not home.ready())
             later = await raw(ports[1], book(key))
             unknown = Ran.OUTCOME_UNKNOWN.value
-            self.assertEqual((503, "window-closed", unknown), told(later))
+            self.assertEqual((503, "window-closed", unknown), outcome(later))
             first = await raw(ports[1], book(key, FIRST))
-            self.assertEqual((503, "window-closed", "not-run"), told(first))
+            self.assertEqual((503, "window-closed", "not-run"), outcome(first))
 
         self.run_keyed(test)
 
@@ -218,13 +218,13 @@
         async def test(deployment, ports, key):
             await self.add_target(deployment)
             fresh = f"{ZONE}/{uuid7()}"
-            self.assertEqual("ran", told(await raw(ports[1], book(fresh)))[2])
+            self.assertEqual("ran", outcome(await raw(ports[1], book(fresh)))[2])
             for site in deployment.sites:
                 site.leaving = site.zone == ZONE and site.upstream.runs_total == 1
             await self.publish(deployment)
             again = await raw(ports[1], book(fresh))
             unknown = Ran.OUTCOME_UNKNOWN.value
-            self.assertEqual((409, "key-too-old", unknown), told(again))
+            self.assertEqual((409, "key-too-old", unknown), outcome(again))
             self.assertEqual(1, runs(deployment))
 
         self.run_keyed(test)
@@ -243,7 +243,7 @@
             call = asyncio.ensure_future(raw(ports[1], book(f"{ZONE}/{uuid7()}")))
             await until(lambda: entry.counters.retried["wrong-home"])
             entry.config.holder.current = newest
-            self.assertEqual((200, "", "ran"), told(await call))
+            self.assertEqual((200, "", "ran"), outcome(await call))
 
         self.run_keyed(test)
 
@@ -262,7 +262,7 @@
             await until(lambda: not home.ready())
             for each in (issued[0], issued[0], issued[1]):
                 answer = await raw(ports[1], book(each))
-                self.assertEqual((200, "", "ran"), told(answer))
+                self.assertEqual((200, "", "ran"), outcome(answer))
             self.assertEqual(2, runs(deployment))
 
         self.run_keyed(test)
@@ -280,7 +280,7 @@
         """
 
         async def test(deployment, ports, key):
-            answers = [told(await raw(port, book(key)))[0] for port in ports]
+            answers = [outcome(await raw(port, book(key)))[0] for port in ports]
             self.assertEqual([200, 200], answers)
             self.assertEqual(1, runs(deployment))
 
--- a/sequoiaspoke/tests/test_peerlink.py
+++ b/sequoiaspoke/tests/test_peerlink.py
@@ -9,7 +9,7 @@
 from testtools.matchers import GreaterThan
 from tornado.netutil import bind_sockets
 
-from sequoiaspoke.core.idempotency import messages as vouching
+from sequoiaspoke.core.idempotency import messages as witness_messages
 from sequoiaspoke.core.idempotency.epoch import Epoch
 from sequoiaspoke.core.membership.settings import MembershipSettings
 from sequoiaspoke.core.snapshot import codec
@@ -31,7 +31,7 @@
 from sequoiaspoke.wire.codec import decode_message, encode_message
 
 LOOPBACK = "127.0.0.1"
-PATIENCE = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
+TIMEOUT = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
 DIGEST = "ab" * 16
 STATUS = messages.Status(7, DIGEST, 8, DIGEST, 3, 1, 2, {"rules": DIGEST})
 EPOCH = Epoch(7, "ab" * 8, 3)
@@ -50,9 +50,9 @@
     messages.PartsAnswer((messages.Part(DIGEST, b"bytes"),), busy=True),
     messages.VmsQuestion(3),
     messages.VmsAnswer(4, 3, b"bytes", ("vm-1",)),
-    vouching.Question("vm-1", "booking", "booking-1", 9, EPOCH, EPOCH, EPOCH),
-    vouching.Answer("vm-1", "booking-1", 9, EPOCH, EPOCH, EPOCH),
-    vouching.Answer("vm-1", "booking-1", 9),
+    witness_messages.Question("vm-1", "booking", "booking-1", 9, EPOCH, EPOCH, EPOCH),
+    witness_messages.Answer("vm-1", "booking-1", 9, EPOCH, EPOCH, EPOCH),
+    witness_messages.Answer("vm-1", "booking-1", 9),
 )
 
 
@@ -103,7 +103,7 @@
         self.note(link, number, message)
 
     async def until(self, *event):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while event not in self.events:
                 self.changed.clear()
                 await self.changed.wait()
@@ -205,14 +205,14 @@
     return replace(
         Settings(),
         node=NodeSettings(name=name, zone="akaki"),
-        platform=PlatformSettings(url=url, timeout=PATIENCE),
-        spread=SpreadSettings(exchange=PATIENCE),
-        membership=MembershipSettings(pause=PATIENCE),
+        platform=PlatformSettings(url=url, timeout=TIMEOUT),
+        spread=SpreadSettings(exchange=TIMEOUT),
+        membership=MembershipSettings(pause=TIMEOUT),
         upstream=UpstreamSettings(target=name, service="fleet"),
     )
 
 
 async def converged(sources, version):
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         while any(source.holder.version < version for source in sources):
             await asyncio.sleep(0.02)
