--- a/sequoiaspoke/node/directcalls.py
+++ b/sequoiaspoke/node/directcalls.py
@@ -1,4 +1,4 @@
-"""The entry's side of granted direct connections."""
+"""The entry side of granted direct connections."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from sequoiaspoke.node.home import Home, HomeCall
     from sequoiaspoke.settings.schema import Settings
 
-POLL_SECONDS = 0.1  # between looks at which grants to ask for or renew
+POLL_SECONDS = 0.1  # between checks for grants to request or renew
 
 
 class DirectCalls:
-    """Run idempotent calls at upstreams of other VMs under grants."""
+    """Run idempotent calls directly at upstreams of other VMs under grants."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.timer_set = False
 
     def take(self, endpoint: Endpoint, call: HomeCall) -> int:
-        """Return the grant under which a call may go directly, or 0."""
+        """Take a slot for a direct call; return its grant, or 0 if there is none."""
         if not self.enabled:
             return 0
         self.home_addresses[endpoint.target] = Address(
@@ -61,23 +61,23 @@
         return self.core.take(endpoint.target, call.deadline, loop.time())
 
     async def run(self, grant: int, call: HomeCall) -> Answer:
-        """Run a call at the upstream itself."""
+        """Run a call directly at the upstream under a grant."""
         target = call.target
         try:
             answer = await self.home.hand_over(call, self.upstream_pools[target])
         except BaseException as error:
             self.send(self.core.done(target, grant))
             if isinstance(error, UpstreamShedError):
-                # The home does not see these answers. Called directly on, an
-                # upstream that drains by itself would get new work until the
-                # grant ends; through the home it is found out at once.
+                # The home does not see these answers. Direct calls would go on
+                # to a draining upstream until the grant ends; the next call
+                # through the home detects the drain at once.
                 self.send(self.core.recalled(target))
             raise
         answer.on_close(lambda: self.send(self.core.done(target, grant)))
         return answer
 
     def send_due_questions(self) -> None:
-        """Ask the homes what is due."""
+        """Send the homes the requests for grants that are due."""
         self.timer_set = False
         loop = asyncio.get_running_loop()
         for question in self.core.due_questions(loop.time()):
@@ -87,7 +87,7 @@
             loop.call_later(POLL_SECONDS, self.send_due_questions)
 
     def send(self, question: Question | None) -> None:
-        """Send a message beside the calls."""
+        """Send a message to a home in the background."""
         if question is None:
             return
         task = asyncio.get_running_loop().create_task(self.exchange(question))
@@ -95,7 +95,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def exchange(self, question: Question) -> None:
-        """Carry a message to a home and take its answer."""
+        """Send a message to a home and process its answer."""
         target = question.target
         read = None
         try:
@@ -118,7 +118,7 @@
         self.send(self.core.answered(question, read.answer))
 
     async def post(self, question: Question) -> Answer:
-        """Send a message and wait for its whole answer."""
+        """Send a message and wait for the complete answer."""
         address = self.home_addresses[question.target]
         if address not in self.mesh_pools:
             self.mesh_pools[address] = Pool(address, self.settings.limits)
@@ -134,7 +134,7 @@
         return answer
 
     def connect(self, target: str, address: Address) -> None:
-        """Keep a pool to a target's upstream."""
+        """Keep a connection pool to a target's upstream."""
         pool = self.upstream_pools.get(target)
         if pool and pool.address == address:
             return
@@ -143,7 +143,7 @@
         self.upstream_pools[target] = Pool(address, self.settings.limits)
 
     def retain(self, targets: frozenset[str]) -> None:
-        """Forget targets that are gone, once no direct call runs there."""
+        """Drop targets that are gone, once no direct call runs there."""
         for target in self.core.held_grants.keys() - targets:
             self.core.forget(target)
         for target in self.upstream_pools.keys() - self.core.held_grants.keys():
--- a/sequoiaspoke/node/grantheader.py
+++ b/sequoiaspoke/node/grantheader.py
@@ -1,4 +1,4 @@
-"""Messages about granted connections as header values between nodes."""
+"""Header values for grant messages between nodes."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True)
 class ParsedAnswer:
-    """A home's answer, with where the upstream is if it is granted."""
+    """A home's answer, with the upstream's address if the grant was given."""
 
     answer: GrantAnswer
     address: Address | None = None
 
 
 def write_message(message: Ask | Returned) -> str:
-    """Return the value of a question or return."""
+    """Format a request for a grant, or the return of one."""
     if isinstance(message, Ask):
         numbers = (message.grant, message.in_use, message.used)
         return " ".join([ASK, message.entry, *map(str, numbers)])
@@ -36,12 +36,12 @@
 
 
 def read_message(value: str) -> Ask | Returned:
-    """Read a question or return.
+    """Parse a request for a grant, or the return of one.
 
     Raises
     ------
     BadRequestError
-        It is neither.
+        The value is neither.
     """
     words = value.split()
     try:
@@ -54,11 +54,11 @@
             return Returned(entry, grant, in_use)
     except ValueError:
         pass
-    raise BadRequestError("not a message about a grant")
+    raise BadRequestError("malformed grant message")
 
 
 def write_answer(answer: GrantAnswer, address: str) -> str:
-    """Return the value of an answer."""
+    """Format an answer."""
     if isinstance(answer, Denied):
         return f"{DENIED} {answer.reason.value}"
     lease = round(answer.lease * MILLISECONDS)
@@ -66,7 +66,7 @@
 
 
 def read_answer(value: str) -> ParsedAnswer | None:
-    """Read an answer, or return None if it is none."""
+    """Parse an answer; return None if it is malformed."""
     words = value.split()
     try:
         if words[0] == DENIED:
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -1,4 +1,4 @@
-"""The home's side of granted direct connections."""
+"""The home side of granted direct connections."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from sequoiaspoke.settings.schema import Settings
 
 POLL_SECONDS = 0.05
-MAX_HOLD_SHARE = 0.5  # of the lease, for which a renewal waits for a recall
+MAX_HOLD_SHARE = 0.5  # of the lease; how long a renewal is held for a recall
 
 
 class GrantServer:
-    """Answer entries that ask for direct connections.
+    """Answer entries that request grants of direct connections.
 
-    A renewal is held back for half of its lease, so that there is always one to
-    answer when a grant has to be recalled: a home can reach an entry at once
-    without a connection of its own to it.
+    A renewal is held for up to half of the lease (long polling). The home
+    recalls a grant by answering the held renewal, so it needs no connection of
+    its own to the entry.
     """
 
     def __init__(self, settings: Settings, home: Home) -> None:
@@ -40,7 +40,7 @@
             self.core.close()
 
     async def answer(self, call: IncomingCall) -> None:
-        """Answer a question, or take a grant back."""
+        """Answer a request for a grant, or process a returned one."""
         message = read_message(call.headers[names.GRANT])
         headers = HTTPHeaders({names.LOAD: write_load(self.home.report())})
         if isinstance(message, Ask):
@@ -53,7 +53,7 @@
         call.writer.whole(200, headers, b"")
 
     def ask(self, message: Ask) -> str:
-        """Return the answer to a question as a header's value."""
+        """Return the answer to a request as a header value."""
         now = asyncio.get_running_loop().time()
         self.core.expire(now)
         answer = self.core.ask(message, self.capacity(), now)
@@ -61,7 +61,7 @@
         return write_answer(answer, address if isinstance(answer, Granted) else "")
 
     async def hold_renewal(self) -> None:
-        """Wait for a recall, for a part of the lease at most."""
+        """Hold a renewal until a recall, or for the allowed part of the lease."""
         if self.core.closed:
             return
         self.recall.clear()
@@ -75,19 +75,19 @@
             return
 
     def recall_if_needed(self) -> None:
-        """Answer held renewals at once if their grants must come back."""
+        """Answer the held renewals at once if grants must be recalled."""
         now = asyncio.get_running_loop().time()
         if self.core.must_recall(self.capacity(), now):
             self.recall.set()
 
     def capacity(self) -> Capacity:
-        """Return what admission says of the slots."""
+        """Return the limit, free slots and queue length of admission."""
         admission = self.home.gate.admission
         free = admission.free_slots()
         return Capacity(admission.limit.current(), free, len(admission.queue))
 
     def update_admission(self) -> None:
-        """Let admission count what is lent, and use what came back."""
+        """Reserve the granted slots in admission and use the returned ones."""
         gate = self.home.gate
         gate.admission.reserved = self.core.reserved
         gate.act(gate.admission.tick(asyncio.get_running_loop().time()))
@@ -95,7 +95,8 @@
     async def wait_until_returned(self, seconds: float) -> None:
         """Wait until no entry runs a call at the upstream under a grant.
 
-        A stop that did not would cut calls that this node cannot see.
+        This node does not see those calls; a stop without the wait would cut
+        them off.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -104,6 +105,6 @@
             self.core.expire(loop.time())
 
     def drain(self) -> None:
-        """Lend nothing any more."""
+        """Stop granting connections and recall those granted."""
         self.core.close()
         self.recall.set()
--- a/sequoiaspoke/node/keyedentry.py
+++ b/sequoiaspoke/node/keyedentry.py
@@ -1,4 +1,4 @@
-"""The entry side of a keyed call: one home, and as many attempts as time allows."""
+"""The entry side of keyed calls: attempts at the key's home until the deadline."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
     from sequoiaspoke.node.config import ConfigSource
     from sequoiaspoke.node.home import HomeCall
 
-# Failures on the way to the home, which may be asked again: its ledger keeps the key
-# from running twice.
+# Connection failures on the way to the home. A retry is safe: the home's ledger keeps
+# the key from running twice.
 CONNECTION_FAILURES = (ConnectError, ConnectionLostError, TruncatedAnswerError)
-# What one node tells another while a version crosses.
+# Refusals while the entry and the home have different versions of the configuration.
 VERSION_MISMATCHES = (NotReadyError, WrongHomeError)
-MIN_BACKOFF = 0.05  # seconds; a version that crosses reaches the other node in less
+MIN_BACKOFF = 0.05  # seconds; a new version reaches the other node in less
 MAX_BACKOFF = 1.0
 
 
 class KeyedEntry:
-    """Bring keyed calls to the one home that may run each."""
+    """Send each keyed call to the one home that may run its key."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         Raises
         ------
         CallError
-            There is none; says what is known of every attempt with the key.
+            There is no answer; `ran` combines the results of all attempts.
         """
         key = parse_key(call.headers[names.IDEMPOTENCY_KEY], self.settings)
         results: list[AttemptResult] = []
@@ -85,7 +85,7 @@
                 call.body.rewind()
 
     async def attempt(self, call: HomeCall, key: Key) -> Answer:
-        """Ask the home that the version in force names."""
+        """Make one attempt at the home that the current version names."""
         endpoint = self.home(call.service, key)
         attempt = replace(call, target=endpoint.target)
         return await self.attempts.attempt(endpoint, attempt)
@@ -113,7 +113,7 @@
 
 
 def can_retry(error: CallError, call: HomeCall, backoff: float) -> bool:
-    """Return whether another attempt can come to something."""
+    """Return whether a retry may succeed before the deadline."""
     connection_failed = isinstance(error, CONNECTION_FAILURES) and not error.remote
     if not connection_failed and not isinstance(error, VERSION_MISMATCHES):
         return False
@@ -123,7 +123,7 @@
 
 
 def refusal_for_caller(headers: HTTPHeaders, error: CallError) -> CallError:
-    """Return what to tell a caller whose call this node itself refused."""
+    """Return the failure to report for a call that this node itself refused."""
     if names.IDEMPOTENCY_KEY not in headers:
         return error
     return error_for_caller(headers, error, (AttemptResult(error.ran, error.settled),))
@@ -132,7 +132,7 @@
 def error_for_caller(
     headers: HTTPHeaders, error: CallError, results: tuple[AttemptResult, ...]
 ) -> CallError:
-    """Return the failure with what is known of all attempts with the key."""
+    """Return the failure, with `ran` combined from all attempts with the key."""
     first = headers.get(names.IDEMPOTENCY_ATTEMPT, "") == names.FIRST_ATTEMPT
     ran = tell_caller(results, first)
     if ran is error.ran:
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -1,4 +1,4 @@
-"""The home side of a keyed call: run it once, and give every repeat its answer."""
+"""The home side of keyed calls: run each key once and answer retries from the run."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
     from sequoiaspoke.settings.schema import Settings
 
 MILLISECONDS = 1000
-KEYS_PER_ANSWER = 20  # issued keys in one answer; they are good for the retention
+KEYS_PER_ANSWER = 20  # issued keys in one answer; each is valid for the retention
 KEY_TIME_RESOLUTION = 0.001  # seconds; a key's minted time is rounded down to it
 
 
 class KeyedHome:
-    """Run each key of this VM's target at most once."""
+    """Run each key that belongs to this VM's target at most once."""
 
     def __init__(
         self,
@@ -84,11 +84,11 @@
         home.keyed = self
 
     async def start(self, address: str, port: int) -> int:
-        """Begin to ask and answer as a witness; return the port."""
+        """Start to query witnesses and to answer as one; return the port."""
         return await self.link.listen(address, port)
 
     async def linger(self) -> None:
-        """Wait for calls whose callers may have gone, and then for their repeats."""
+        """Wait until all runs have ended, then for retries that fetch their answers."""
         while self.tasks:
             await asyncio.wait(self.tasks)
         ended = self.core.ledger.ended
@@ -109,7 +109,7 @@
         return tenure.is_open(now) and since <= now.wall
 
     def close(self) -> None:
-        """Fall silent and give up what still runs."""
+        """Close the witness link and cancel the remaining runs."""
         self.link.close()
         for task in self.tasks:
             task.cancel()
@@ -132,16 +132,16 @@
         )
 
     def issue(self, call: HomeCall) -> Answer:
-        """Return keys, one a line, that this process alone may run.
+        """Return new keys, one per line, that only this process may run.
 
         Raises
         ------
         CallError
-            The node is leaving, or the call is for another target.
+            The node is draining, or the call is for another target.
         """
         self.check_target(call)
         if self.core.draining:
-            raise DrainingError("no keys of a process that is about to end")
+            raise DrainingError("a draining process issues no keys")
         self.counters["issue"] += 1
         identity, wall = self.core.identity, moment().wall
         keys = [issue_key(identity, wall, self.rng) for _ in range(KEYS_PER_ANSWER)]
@@ -153,7 +153,9 @@
         """Refuse a call that is for another target."""
         identity = self.core.identity
         if (call.service, call.target) != (identity.service, identity.target):
-            raise WrongHomeError(f"{call.service}/{call.target} is not here")
+            raise WrongHomeError(
+                f"{call.service}/{call.target} is not served by this node"
+            )
 
     async def run(self, call: HomeCall) -> Answer:
         """Return the answer of the key's first run.
@@ -161,8 +163,8 @@
         Raises
         ------
         CallError
-            There is none; says whether this attempt ran, and whether the key
-            never will.
+            There is no answer; says whether this attempt ran, and whether it is
+            certain that the key never will.
         """
         self.check_target(call)
         key = parse_key(call.headers.get(names.IDEMPOTENCY_KEY, ""), self.settings)
@@ -180,10 +182,11 @@
         return await self.wait(self.runs[key.text], call, key, joined)
 
     def start_run(self, call: HomeCall, key: Key, body: bytes) -> None:
-        """Run a new key, whatever becomes of its caller.
+        """Start the run of a new key in a task of its own.
 
-        A caller who goes away mid-way would otherwise cancel a call that the
-        upstream already works on, and its repeat would get no answer.
+        If the run ended with the caller's connection, a caller that disconnects
+        would cancel a call that the upstream already runs, and a retry would get
+        no answer.
         """
         loop = asyncio.get_running_loop()
         key_run = KeyRun(loop.create_future())
@@ -199,7 +202,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def check_hand_over(self, key: Key) -> None:
-        """Refuse a call that may no longer be handed over."""
+        """Refuse a call that may no longer be handed to the upstream."""
         self.link.refresh()
         decision = self.core.hand_over(key, moment())
         if isinstance(decision, Refuse):
@@ -207,7 +210,7 @@
             raise refusal(decision)
 
     async def execute(self, key_run: KeyRun, call: HomeCall, key: Key) -> None:
-        """Run a call and settle its key."""
+        """Run a call and record the outcome of its key."""
         try:
             answer = await self.home.run_now(call)
             kept = await self.read_answer(key_run, answer)
@@ -223,7 +226,7 @@
             self.runs.pop(key.text, None)
 
     def fail(self, key_run: KeyRun, key: Key, error: CallError) -> None:
-        """Settle a key whose call got no whole answer."""
+        """Record the failure of a run that got no complete answer."""
         failure = refusal(self.core.failed(key, error, moment()))
         failure.settled = failure.settled or error.settled
         if not key_run.done.done():
@@ -231,7 +234,7 @@
             key_run.done.exception()
 
     async def read_answer(self, key_run: KeyRun, answer: Answer) -> KeptAnswer:
-        """Read a short answer whole; leave a long one to the first caller."""
+        """Read a short answer in full; pass a long one on to the first caller."""
         chunks: list[bytes] = []
         size = 0
         headers = tuple(names.end_to_end(answer.headers).get_all())
@@ -245,7 +248,7 @@
         return KeptAnswer(answer.status, answer.reason, headers, b"".join(chunks))
 
     def stream(self, key_run: KeyRun, answer: Answer, start: bytes) -> None:
-        """Hand the rest of a long answer to the first caller, if it waits."""
+        """Pass a long answer on to the first caller, if it still waits."""
         if key_run.first_caller_gone:
             answer.close()
             return
@@ -255,7 +258,7 @@
     async def wait(
         self, key_run: KeyRun, call: HomeCall, key: Key, joined: bool
     ) -> Answer:
-        """Wait for a run's answer until the call's own deadline."""
+        """Wait for a run's answer until this call's deadline."""
         try:
             async with asyncio.timeout_at(call.deadline):
                 kept = await asyncio.shield(key_run.done)
@@ -274,9 +277,9 @@
         return replayed(kept, call.method, repeat=joined)
 
     def deadline_error(self, key: Key) -> CallError:
-        """Return what to tell when the deadline passes first."""
+        """Return the failure of a call whose deadline passes before its run ends."""
         entry = self.core.ledger.get(key)
         if entry is None or entry.state is not State.QUEUED:
-            return DeadlineUnknownError("the upstream still works on the key")
+            return DeadlineUnknownError("the upstream is still running the key's call")
         error = DeadlineNotRunError("still queued")
         return refusal(self.core.failed(key, error, moment()))
--- a/sequoiaspoke/node/keyedrun.py
+++ b/sequoiaspoke/node/keyedrun.py
@@ -1,4 +1,4 @@
-"""One run of a key, and the forms that its call, answer and failure take."""
+"""The run of a key, and conversions of its call, answer and failure."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 @dataclass
 class KeyRun:
-    """One run of a key, apart from the callers that wait for it.
+    """The run of a key, independent of the callers that wait for it.
 
     Attributes
     ----------
     done : Future
-        Set when the answer's head, or all of a short answer, is there.
+        Set when a short answer is complete, or a long one exceeds the size limit.
     stream : Answer or None
-        An answer too large to keep, for the caller of the first attempt.
+        An answer too large to keep, streamed to the caller of the first attempt.
     alone : bool
-        Whether that caller has gone.
+        Whether that caller has disconnected or timed out.
     """
 
     done: asyncio.Future[KeptAnswer]
@@ -41,24 +41,24 @@
 
 
 def refusal(decision: Refuse) -> CallError:
-    """Return the failure of a refused attempt."""
+    """Return the error to raise for a refused attempt."""
     decision.error.remote = True
     decision.error.settled = decision.settled
     return decision.error
 
 
 def fingerprint(call: HomeCall, body: bytes) -> Fingerprint:
-    """Return what repeats of the call must share."""
+    """Return what a retry must share with the call."""
     return Fingerprint(call.method, call.uri, sha256(body).hexdigest(), call.service)
 
 
 async def read_body(call: HomeCall, limit: int) -> bytes:
-    """Read a keyed call's whole body.
+    """Read the whole body of a keyed call.
 
     Raises
     ------
     RequestTooLargeError
-        It is longer than the limit; nothing of it was run.
+        The body exceeds the limit; the call was not run.
     """
     if call.body is None:
         return b""
@@ -67,13 +67,15 @@
     while chunk := await call.body.get():
         size += len(chunk)
         if size > limit:
-            raise RequestTooLargeError(f"a keyed call's body is over {limit} bytes")
+            raise RequestTooLargeError(
+                f"the body of a keyed call exceeds {limit} bytes"
+            )
         chunks.append(chunk)
     return b"".join(chunks)
 
 
 def replayed(kept: KeptAnswer, method: str, repeat: bool) -> Answer:
-    """Return an answer made of a kept one."""
+    """Build an answer from a kept one."""
     answer = Answer(method)
     answer.status, answer.reason = kept.status, kept.reason
     answer.headers = HTTPHeaders()
--- a/sequoiaspoke/node/peerlink.py
+++ b/sequoiaspoke/node/peerlink.py
@@ -1,7 +1,7 @@
-"""Connections between nodes: frames of thrift messages over streams.
+"""Connections between nodes: length-prefixed frames of thrift messages over TCP.
 
-Whatever arrives malformed, oversized, cut short or unknown is counted and
-closes the one link that it came on; nothing else is harmed.
+A malformed, oversized, truncated or unknown message is counted and closes the link
+that it came on; other links are unaffected.
 """
 
 from __future__ import annotations
@@ -27,50 +27,50 @@
     from sequoiaspoke.core.spread.messages import Message
 
 HEADER = struct.Struct("!I")
-# Above the largest answer: one part of at most a megabyte and its frame.
+# Larger than the largest answer: one part of at most 1 MiB and its frame.
 FRAME_LIMIT = 2 << 20
 READ_BYTES = 64 * 1024
-# Bytes that wait for a peer that does not read; beyond, the link is closed.
-# Otherwise a peer that stands still would fill this node's memory.
+# Bytes buffered for a peer that does not read; above this the link is closed.
+# Otherwise a stalled peer would fill this node's memory.
 UNSENT_LIMIT = 4 << 20
 
 
 class LinkListener(ABC):
-    """Is told what happens on the links."""
+    """Receives the events of the links."""
 
     @abstractmethod
     def link_up(self, number: int) -> None:
-        """Take a connection that stands."""
+        """Handle an established connection."""
 
     @abstractmethod
     def link_down(self, number: int) -> None:
-        """Take the end of a connection."""
+        """Handle the end of a connection, or a failure to open one."""
 
     @abstractmethod
     def received(self, link: int, number: int, message: Message) -> None:
-        """Take a message."""
+        """Handle a message."""
 
 
 class FrameSplitter:
-    """Cuts a stream of bytes into frames."""
+    """Splits a stream of bytes into frames."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes and return the frames that are whole.
+        """Add bytes and return the complete frames.
 
         Raises
         ------
         MessageError
-            A frame announces more than the limit.
+            A frame's length exceeds the limit.
         """
         self.buffer += data
         frames = []
         while len(self.buffer) >= HEADER.size:
             (size,) = HEADER.unpack_from(self.buffer)
             if size > FRAME_LIMIT:
-                raise MessageError(f"frame of {size} bytes; allowed: {FRAME_LIMIT}")
+                raise MessageError(f"frame of {size} bytes; the limit is {FRAME_LIMIT}")
             end = HEADER.size + size
             if len(self.buffer) < end:
                 break
@@ -79,12 +79,12 @@
         return frames
 
     def has_partial_frame(self) -> bool:
-        """Return whether the stream stands within a frame."""
+        """Return whether part of a frame is buffered."""
         return bool(self.buffer)
 
 
 class PeerLinks(TCPServer):
-    """Every connection with other nodes; accepted ones have negative numbers."""
+    """All connections with other nodes; accepted ones have negative numbers."""
 
     def __init__(self, listener: LinkListener) -> None:
         super().__init__(max_buffer_size=FRAME_LIMIT + READ_BYTES)
@@ -98,12 +98,12 @@
         self.bytes_received = 0
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Follow a connection that another node opened; called by the library."""
+        """Serve a connection that another node opened; called by tornado."""
         del address
         await self.read_messages(next(self.accepted_numbers), stream)
 
     def connect(self, number: int, address: str, port: int) -> None:
-        """Open a connection; the listener hears how it went."""
+        """Open a connection; the outcome goes to the listener."""
         task = asyncio.get_running_loop().create_task(
             self._connect(number, address, port)
         )
@@ -114,17 +114,17 @@
             stream = await self.client.connect(
                 address, port, max_buffer_size=FRAME_LIMIT + READ_BYTES
             )
-        # The list of VMs may name a port or an address that cannot be.
+        # The VM list may hold an invalid port or address.
         except (OSError, StreamClosedError, ValueError, OverflowError):
             self.connecting.pop(number, None)
             self.listener.link_down(number)
             return
-        # Without a task here, nobody else holds the connection's reader.
+        # The task stays in `connecting` while it reads: nothing else references it.
         await self.read_messages(number, stream)
         self.connecting.pop(number, None)
 
     async def read_messages(self, number: int, stream: IOStream) -> None:
-        """Read a connection until it ends."""
+        """Read messages from a connection until it ends."""
         stream.set_nodelay(True)
         stream.max_write_buffer_size = UNSENT_LIMIT
         self.streams[number] = stream
@@ -143,7 +143,7 @@
             self.drop(number)
 
     def dispatch(self, number: int, frames: FrameSplitter, data: bytes) -> None:
-        """Hand over the messages that have come in whole."""
+        """Pass the complete messages to the listener."""
         self.bytes_received += len(data)
         for frame in frames.feed(data):
             if number not in self.streams:
@@ -153,14 +153,14 @@
             self.listener.received(number, message_number, message)
 
     def drop(self, number: int) -> None:
-        """Drop a connection that ended."""
+        """Remove a connection that ended."""
         stream = self.streams.pop(number, None)
         if stream:
             stream.close()
             self.listener.link_down(number)
 
     def send(self, link: int, number: int, message: Message) -> None:
-        """Send a message; on a link that is gone it is lost."""
+        """Send a message; on a closed link it is counted and dropped."""
         stream = self.streams.get(link)
         if stream is None or stream.closed():
             self.counters["message-on-closed-link"] += 1
@@ -175,11 +175,11 @@
             self.counters["peer-does-not-read"] += 1
             stream.close()
             return
-        # The reader notices a lost connection; nobody awaits single writes.
+        # Writes are not awaited; the reader detects a lost connection.
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     def close_link(self, number: int) -> None:
-        """Close a connection, or give up opening it."""
+        """Close a connection, or cancel opening it."""
         stream = self.streams.pop(number, None)
         if stream:
             stream.close()
@@ -189,7 +189,7 @@
             task.cancel()
 
     async def close(self) -> None:
-        """Stop listening and close everything."""
+        """Stop listening and close all connections."""
         self.stop()
         for number in [*self.streams, *self.connecting]:
             self.close_link(number)
--- a/sequoiaspoke/node/wholebody.py
+++ b/sequoiaspoke/node/wholebody.py
@@ -1,10 +1,10 @@
-"""A body that is in memory, read like one in transit."""
+"""A body in memory with the interface of a streamed one."""
 
 from __future__ import annotations
 
 
 class WholeBody:
-    """A body that is there in full and can be read again."""
+    """A complete body in memory that can be read again."""
 
     replayable = True
 
@@ -13,20 +13,20 @@
         self.read = False
 
     def rewind(self) -> None:
-        """Start again at the first byte."""
+        """Restart at the first byte."""
         self.read = False
 
     def take_ready(self) -> bytes:
-        """Return all of it, then nothing."""
+        """Return the whole body on the first call, then nothing."""
         if self.read:
             return b""
         self.read = True
         return self.data
 
     async def get(self) -> bytes:
-        """Return all of it, then nothing."""
+        """Return the whole body on the first call, then nothing."""
         return self.take_ready()
 
     def abandon(self) -> None:
-        """Let nobody read the rest."""
+        """Discard what has not been read."""
         self.read = True
--- a/sequoiaspoke/node/witnesslink.py
+++ b/sequoiaspoke/node/witnesslink.py
@@ -1,8 +1,8 @@
-"""Questions to witnesses and their answers, each in one datagram.
+"""Questions to witnesses and their answers, each in one UDP datagram.
 
-Every home asks seven VMs a second. Over connections that would be fourteen more for
-each node, most of which say nothing else; a datagram that is lost costs one answer
-of one round, and three rounds fit the window.
+Every home asks seven VMs each second. Connections would add fourteen to each node,
+most of them used for nothing else. A lost datagram costs one answer of one round,
+and three rounds fit into the window.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 def moment() -> Moment:
-    """Return the present on both clocks, read close together.
+    """Read the steady clock and the wall clock at nearly the same time.
 
-    A process that is set aside between the two readings would see a step of the
-    wall clock where there is none, and end its tenure for it.
+    If the process is preempted between the two readings, the wall clock seems to
+    have jumped, and the home would end its tenure. So a slow reading is retried.
     """
     for _ in range(CLOCK_READINGS):
         steady = time.clock_gettime(time.CLOCK_BOOTTIME)
@@ -47,7 +47,7 @@
 
 
 class WitnessLink(asyncio.DatagramProtocol):
-    """Ask for this node's home, and answer for its witness."""
+    """Send the questions of this node's home and answer those to its witness."""
 
     def __init__(self, config: ConfigSource, core: HomeCore, witness: Witness) -> None:
         self.config = config
@@ -62,12 +62,12 @@
         self.ticker = PeriodicCallback(self.tick, period)
 
     async def listen(self, address: str, port: int) -> int:
-        """Open the socket and begin to ask; return the port.
+        """Open the socket and start the rounds of questions; return the port.
 
         Raises
         ------
         AddressInUseError
-            The port is taken.
+            The port is in use.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -80,13 +80,13 @@
         return self.transport.get_extra_info("sockname")[1]
 
     def close(self) -> None:
-        """Fall silent."""
+        """Stop the timer and close the socket."""
         self.ticker.stop()
         if self.transport:
             self.transport.close()
 
     def refresh(self) -> None:
-        """Learn of the version in force before a decision rests on it."""
+        """Apply the current version, so that decisions are based on it."""
         snapshot = self.config.current
         if snapshot is None or snapshot is self.snapshot:
             return
@@ -110,7 +110,7 @@
         return tenure.identity.service in tenure.assignment.routes
 
     def refresh_vms(self) -> None:
-        """Learn of the newest VM list."""
+        """Apply the newest VM list."""
         vms = self.config.vms
         if vms.revision == self.revision:
             return
@@ -120,7 +120,7 @@
         self.witness.on_vms(vms)
 
     def ask(self, question: Question) -> None:
-        """Send a question, or answer it where it is this VM's own."""
+        """Send a question; answer it locally if it is for this VM's own witness."""
         if question.to == self.witness.vm:
             answer = self.witness.answer(question, moment())
             if answer:
@@ -131,7 +131,7 @@
             self.send(question, question.round, address)
 
     def send(self, message: Question | Answer, number: int, to: SocketAddress) -> None:
-        """Send one datagram; nobody learns whether it arrives."""
+        """Send one datagram, without confirmation of delivery."""
         payload = encode_message(number, message)
         self.counters["datagrams-sent"] += 1
         self.counters["bytes-sent"] += len(payload)
@@ -139,7 +139,7 @@
             self.transport.sendto(payload, to)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a datagram; called by the library."""
+        """Process a received datagram; called by asyncio."""
         self.counters["datagrams-received"] += 1
         self.counters["bytes-received"] += len(data)
         try:
@@ -156,6 +156,6 @@
                 self.send(answer, number, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Take a refusal of the other end's host; called by the library."""
+        """Count a failed send, as to a closed port; called by asyncio."""
         self.counters["datagrams-refused"] += 1
         log.debug("witness-unreachable", reason=str(exc))
