--- a/sequoiaspoke/tests/test_grantsockets.py
+++ b/sequoiaspoke/tests/test_grantsockets.py
@@ -1,4 +1,4 @@
-"""Tests of granted direct connections through real sockets."""
+"""Tests of granted direct connections over real sockets."""
 
 import asyncio
 from dataclasses import replace
@@ -15,13 +15,13 @@
     until,
 )
 
-# Wide enough for a slow machine; what a lease bounds is tested without sockets.
+# Long enough for a slow machine; the limits of a lease are tested without sockets.
 LEASE = 4.0
 RATE = 0.1
 
 
 def enable_grants(entry, home):
-    """Let one node grant connections to its upstream and another use them."""
+    """Let `home` grant connections to its upstream and `entry` use them."""
     grants = home.node.grants
     address = f"127.0.0.1:{home.upstream.port}"
     routing = replace(
@@ -45,7 +45,7 @@
     RULES = LoopbackTestCase.RULES.replace("= 5", "= 60") + "priority = patient\n"
 
     def run_granted(self, test):
-        """Run a test that begins with a grant in use."""
+        """Run a test that starts with a grant in use."""
 
         async def prepared(deployment):
             near, far = deployment.sites
@@ -62,7 +62,7 @@
         self.run_with(prepared)
 
     async def hold_one_directly(self, port, ways):
-        """Begin held calls until one of them went directly."""
+        """Start held calls until one of them goes directly."""
         before, calls = ways["direct"], []
         while ways["direct"] == before:
             taken = ways.total()
@@ -83,9 +83,9 @@
         self.run_granted(test)
 
     def test_waiting_calls_take_granted_slots_back(self):
-        """Many calls come at once while an entry holds slots.
+        """Many calls arrive at once while an entry holds granted slots.
 
-        They would wait for slots that nobody uses.
+        Without a recall they would wait while the granted slots are idle.
         """
 
         async def test(port, far, ways):
@@ -102,10 +102,10 @@
         self.run_granted(test)
 
     def test_an_upstream_that_drains_is_called_through_its_home(self):
-        """An operator drains an upstream that is called under grants alone.
+        """An operator drains an upstream that is only called under grants.
 
-        Its node sees none of those calls, and the entry must neither go on nor
-        take itself for the one that leaves.
+        Its node sees none of those calls. The entry must stop calling it directly,
+        and must not report its own upstream as leaving.
         """
 
         async def test(port, far, ways):
@@ -122,10 +122,11 @@
 
         self.run_granted(test)
 
-    def test_a_stop_waits_for_direct_calls_and_begins_none(self):
-        """A VM is replaced while an entry runs a call at its upstream.
+    def test_a_stop_waits_for_direct_calls_and_allows_no_new_ones(self):
+        """A node stops while an entry runs a direct call at its upstream.
 
-        The node does not see that call; a stop that forgot it would cut it.
+        The node does not see that call; a stop that did not wait for its grant
+        would cut it off.
         """
 
         async def test(port, far, ways):
--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Keyed calls through real sockets: entry, home, witnesses and upstream."""
+"""Tests of keyed calls over real sockets: entry, home, witnesses and upstream."""
 
 import asyncio
 from dataclasses import replace
@@ -28,12 +28,12 @@
 
 
 def outcome(answer):
-    """Return status, reason and whether it ran."""
+    """Return the status, the reason and whether the call ran."""
     return status(answer), header(answer, names.REASON), header(answer, names.RAN)
 
 
 class KeyedCase(LoopbackTestCase):
-    """Two zones with one target each; keys are of the first."""
+    """Two zones with one target each; the keys belong to the first zone."""
 
     RULES = (
         "[rule book]\nwhen = always\nthen = route fleet\nidempotent = no\ntimeout = 2\n"
@@ -58,8 +58,8 @@
         await deployment.keys_run(30)
 
 
-class RepeatTests(KeyedCase):
-    def test_repeat_through_another_zone_gets_the_first_answer(self):
+class RetryTests(KeyedCase):
+    def test_retry_through_another_zone_gets_the_first_answer(self):
         async def test(deployment, ports, key):
             first = await raw(ports[0], book(key))
             again = await raw(ports[1], book(key))
@@ -72,11 +72,11 @@
 
         self.run_keyed(test)
 
-    def test_a_call_that_enters_at_its_home_is_counted_out(self):
-        """Foremen book through the node of the very target that runs the booking.
+    def test_a_call_that_enters_at_its_home_does_not_stay_in_flight(self):
+        """The entry of a keyed call is also its home.
 
-        Were each booking counted as still running there, that target would look
-        fuller with every call, and at last get none.
+        If the entry kept counting such a call as in flight, the target's load
+        would grow with every call until the balancer chose it no more.
         """
 
         async def test(deployment, ports, key):
@@ -88,9 +88,10 @@
 
         self.run_keyed(test)
 
-    def test_repeat_of_a_caller_who_went_away(self):
-        """A foreman's line drops while his booking runs, and he books again. He
-        must get that booking's answer, and no second crusher.
+    def test_retry_after_the_caller_disconnected(self):
+        """A caller disconnects while its call runs, and retries.
+
+        The retry must get the answer of the first run, without a second run.
         """
 
         async def test(deployment, ports, key):
@@ -105,9 +106,11 @@
 
         self.run_keyed(test)
 
-    def test_long_answer_is_whole_once(self):
-        """An answer is too large to keep. Its first caller gets all of it; a repeat
-        must hear that the call ran, not see a shorter success.
+    def test_long_answer_is_streamed_once(self):
+        """An answer is too large to keep.
+
+        The first caller gets all of it; a retry must be told that the call ran,
+        not get a shortened success.
         """
 
         async def test(deployment, ports, key):
@@ -128,9 +131,10 @@
 
         self.run_keyed(test)
 
-    def test_planned_stop_answers_repeats(self):
-        """A node stops as planned just after a booking whose answer was lost. The
-        caller asks again within the drain and gets it.
+    def test_draining_home_answers_retries(self):
+        """A node drains just after a call whose answer was lost.
+
+        A retry during the drain gets the answer; a new key is refused.
         """
 
         async def test(deployment, ports, key):
@@ -145,7 +149,7 @@
             self.assertEqual((503, "draining", "not-run"), outcome(fresh))
             home.keyed.settings = replace(home.keyed.settings, linger=0.0)
             stop.cancel()
-            home.draining = False  # so that the deployment can stop it in full
+            home.draining = False  # so that the deployment can stop it completely
 
         self.run_keyed(test)
 
@@ -163,20 +167,23 @@
         self.run_keyed(test)
 
     def test_break_before_the_answer(self):
-        """The upstream's process dies after it charged a member. Nobody can know,
-        and a repeat must not charge again.
+        """The connection breaks after the upstream ran the call.
+
+        The outcome is unknown, and a retry must not run the call again.
         """
         self.fault("break-after", "connection-lost", 1)
 
-    def test_break_while_the_order_is_sent(self):
+    def test_break_while_the_request_is_sent(self):
         self.fault("break-within", "connection-lost", 0)
 
     def test_break_within_the_answer(self):
         self.fault("truncate", "answer-truncated", 1)
 
     def test_upstream_down_was_not_run_and_never_will_be(self):
-        """No upstream listens. The caller hears not-run and makes a new key; a late
-        copy of the first attempt must not run when the upstream is back.
+        """The upstream refuses the call because it drains.
+
+        The caller is told `not-run` and may use a new key, so a late copy of the
+        first attempt must not run once the upstream accepts calls again.
         """
 
         async def test(deployment, ports, key):
@@ -194,8 +201,10 @@
 
 class LostHomeTests(KeyedCase):
     def test_home_cut_off_from_its_witnesses(self):
-        """A VM hears no witness any more. A first attempt certainly did not run;
-        of a later one nobody there can say so.
+        """A home gets no answers from its witnesses any more.
+
+        It refuses new keys. Only a first attempt is known not to have run; for a
+        later one the outcome is unknown.
         """
 
         async def test(deployment, ports, key):
@@ -211,8 +220,9 @@
         self.run_keyed(test)
 
     def test_configuration_moves_the_key_between_two_attempts(self):
-        """A booking ran, its answer was lost, and a version gives its key to
-        another target, which knows nothing of it.
+        """A call ran, its answer was lost, and a new version moves its key.
+
+        The new target has no record of the run, so it must refuse the retry.
         """
 
         async def test(deployment, ports, key):
@@ -230,8 +240,9 @@
         self.run_keyed(test)
 
     def test_entry_with_an_older_version_catches_up(self):
-        """The entry has not heard yet that the key's target is another. The target
-        it asks refuses, and the entry asks again with the newer version.
+        """The entry does not have the version yet that moves the key.
+
+        The old target refuses, and the entry retries with the newer version.
         """
 
         async def test(deployment, ports, key):
@@ -250,8 +261,10 @@
 
 class IssuedKeyTests(KeyedCase):
     def test_issued_keys_run_without_a_window(self):
-        """A VM hears no witness any more. Calls with keys that it issued itself can
-        run nowhere else, so they run on, once each.
+        """A home gets no answers from its witnesses any more.
+
+        Keys that it issued itself can run nowhere else, so it still runs them,
+        once each.
         """
 
         async def test(deployment, ports, key):
@@ -275,8 +288,10 @@
     )
 
     def test_rules_see_the_zone_of_the_key(self):
-        """A rule holds in one zone alone. Seen from the entry's zone, a repeat
-        through another zone would go elsewhere and run again.
+        """A rule applies in one zone only.
+
+        If rules saw the entry's zone instead, a retry through another zone would
+        be routed differently and could run again.
         """
 
         async def test(deployment, ports, key):
--- a/sequoiaspoke/tests/test_peerlink.py
+++ b/sequoiaspoke/tests/test_peerlink.py
@@ -1,4 +1,4 @@
-"""Tests of the peer link on loopback sockets."""
+"""Tests of connections between nodes over loopback sockets."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 from sequoiaspoke.wire.codec import decode_message, encode_message
 
 LOOPBACK = "127.0.0.1"
-TIMEOUT = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
+TIMEOUT = 60.0  # seconds; generous for a slow machine, no assertion depends on it
 DIGEST = "ab" * 16
 STATUS = messages.Status(7, DIGEST, 8, DIGEST, 3, 1, 2, {"rules": DIGEST})
 EPOCH = Epoch(7, "ab" * 8, 3)
@@ -57,18 +57,18 @@
 
 
 class MessageTests(TestCase):
-    def test_every_message_survives_the_round_trip(self):
+    def test_every_message_round_trips(self):
         for message in EXAMPLES:
             encoded = encode_message(12, message)
             self.assertEqual((12, message), decode_message(encoded))
 
-    def test_a_heartbeat_stays_at_a_few_dozen_bytes(self):
+    def test_a_heartbeat_is_less_than_48_bytes(self):
         status = messages.Status(1_900_000, DIGEST, 0, "", 270_000, 1)
         self.assertThat(
             48, GreaterThan(len(encode_message(9999, messages.Beat(status))))
         )
 
-    def test_whatever_is_no_message_is_a_typed_error(self):
+    def test_a_malformed_payload_raises_message_error(self):
         rng = random.Random(4)
         whole = [encode_message(12, message) for message in EXAMPLES]
         unknown = whole[2].replace(b"beat", b"boat")
@@ -116,13 +116,13 @@
 
 
 class BadFrameTests(TestCase):
-    """A peer sends bytes that are no message, too long, or stops in between.
+    """A peer sends a malformed, an oversized or a truncated frame.
 
-    Were the reader to fail as a whole, one broken node would cut its
-    neighbours off from every version.
+    If that stopped the reading of all links, one faulty node would cut its peers
+    off from new versions.
     """
 
-    def test_each_closes_its_own_link_and_harms_no_other(self):
+    def test_a_bad_frame_closes_only_its_own_link(self):
         asyncio.run(self.bad_frames())
 
     async def bad_frames(self):
@@ -152,7 +152,7 @@
         await recorder.until("down", -1)
         await links.close()
 
-    def test_a_refused_connection_is_told(self):
+    def test_a_refused_connection_is_reported(self):
         async def refused():
             recorder = Recorder()
             links = PeerLinks(recorder)
@@ -167,7 +167,7 @@
 
 
 class SourceTests(TestCase):
-    def test_versions_reach_every_node_through_few_watchers(self):
+    def test_versions_reach_every_node_through_two_readers(self):
         asyncio.run(self.three_nodes())
 
     async def three_nodes(self):
