--- a/sequoiaspoke/node/grantheader.py
+++ b/sequoiaspoke/node/grantheader.py
@@ -1,4 +1,4 @@
-"""Messages about granted connections as header values between nodes."""
+"""Header values for grant messages between nodes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 @dataclass(frozen=True)
-class ReadAnswer:
-    """A home's answer, with where the upstream is if it is granted."""
+class ParsedAnswer:
+    """A home's answer, with the upstream's address if the grant was given."""
 
     answer: GrantAnswer
     address: Address | None = None
 
 
 def write_message(message: Ask | Returned) -> str:
-    """Return the value of a question or return."""
+    """Format a request for a grant, or the return of one."""
     if isinstance(message, Ask):
         numbers = (message.grant, message.in_use, message.used)
         return " ".join([ASK, message.entry, *map(str, numbers)])
@@ -36,12 +36,12 @@
 
 
 def read_message(value: str) -> Ask | Returned:
-    """Read a question or return.
+    """Parse a request for a grant, or the return of one.
 
     Raises
     ------
     BadRequestError
-        It is neither.
+        The value is neither.
     """
     words = value.split()
     try:
@@ -54,26 +54,26 @@
             return Returned(entry, grant, in_use)
     except ValueError:
         pass
-    raise BadRequestError("not a message about a grant")
+    raise BadRequestError("malformed grant message")
 
 
 def write_answer(answer: GrantAnswer, address: str) -> str:
-    """Return the value of an answer."""
+    """Format an answer."""
     if isinstance(answer, Denied):
         return f"{DENIED} {answer.reason.value}"
     lease = round(answer.lease * MILLISECONDS)
     return f"{GRANTED} {answer.grant} {answer.connections} {lease} {address}"
 
 
-def read_answer(value: str) -> ReadAnswer | None:
-    """Read an answer, or return None if it is none."""
+def read_answer(value: str) -> ParsedAnswer | None:
+    """Parse an answer; return None if it is malformed."""
     words = value.split()
     try:
         if words[0] == DENIED:
-            return ReadAnswer(Denied(DenyReason(words[1])))
+            return ParsedAnswer(Denied(DenyReason(words[1])))
         grant, connections, lease = map(int, words[1:4])
         host, _, port = words[4].rpartition(":")
         answer = Granted(grant, connections, lease / MILLISECONDS)
-        return ReadAnswer(answer, Address(host, int(port)))
+        return ParsedAnswer(answer, Address(host, int(port)))
     except (ValueError, IndexError):
         return None
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -1,4 +1,4 @@
-"""The home's side of granted direct connections."""
+"""The home side of granted direct connections."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from sequoiaspoke.node.server import IncomingCall
     from sequoiaspoke.settings.schema import Settings
 
-LOOK_SECONDS = 0.05
-HELD_PART = 0.5  # of the lease, for which a renewal waits for a recall
+POLL_SECONDS = 0.05
+MAX_HOLD_SHARE = 0.5  # of the lease; how long a renewal is held for a recall
 
 
 class GrantServer:
-    """Answer entries that ask for direct connections.
+    """Answer entries that request grants of direct connections.
 
-    A renewal is held back for half of its lease, so that there is always one to
-    answer when a grant has to be recalled: a home can reach an entry at once
-    without a connection of its own to it.
+    A renewal is held for up to half of the lease (long polling). The home
+    recalls a grant by answering the held renewal, so it needs no connection of
+    its own to the entry.
     """
 
     def __init__(self, settings: Settings, home: Home) -> None:
@@ -35,73 +35,76 @@
         self.home = home
         self.core = GrantHome(settings.routing)
         self.recall = asyncio.Event()
-        home.gate.on_wait = self.look
+        home.gate.on_wait = self.recall_if_needed
         if not settings.routing.grant_address:
             self.core.close()
 
     async def answer(self, call: IncomingCall) -> None:
-        """Answer a question, or take a grant back."""
+        """Answer a request for a grant, or process a returned one."""
         message = read_message(call.headers[names.GRANT])
         headers = HTTPHeaders({names.LOAD: write_load(self.home.report())})
         if isinstance(message, Ask):
             if message.grant:
-                await self.hold()
+                await self.hold_renewal()
             headers[names.GRANT] = self.ask(message)
         else:
             self.core.returned(message)
-        self.take_over()
+        self.update_admission()
         call.writer.whole(200, headers, b"")
 
     def ask(self, message: Ask) -> str:
-        """Return the answer to a question as a header's value."""
+        """Return the answer to a request as a header value."""
         now = asyncio.get_running_loop().time()
         self.core.expire(now)
-        answer = self.core.ask(message, self.room(), now)
+        answer = self.core.ask(message, self.capacity(), now)
         address = self.settings.routing.grant_address
         return write_answer(answer, address if isinstance(answer, Granted) else "")
 
-    async def hold(self) -> None:
-        """Wait for a recall, for a part of the lease at most."""
+    async def hold_renewal(self) -> None:
+        """Hold a renewal until a recall, or for the allowed part of the lease."""
         if self.core.closed:
             return
         self.recall.clear()
-        self.look()
+        self.recall_if_needed()
         try:
-            async with asyncio.timeout(HELD_PART * self.settings.routing.grant_lease):
+            async with asyncio.timeout(
+                MAX_HOLD_SHARE * self.settings.routing.grant_lease
+            ):
                 await self.recall.wait()
         except TimeoutError:
             return
 
-    def look(self) -> None:
-        """Answer held renewals at once if their grants must come back."""
+    def recall_if_needed(self) -> None:
+        """Answer the held renewals at once if grants must be recalled."""
         now = asyncio.get_running_loop().time()
-        if self.core.must_recall(self.room(), now):
+        if self.core.must_recall(self.capacity(), now):
             self.recall.set()
 
-    def room(self) -> Capacity:
-        """Return what admission says of the slots."""
+    def capacity(self) -> Capacity:
+        """Return the limit, free slots and queue length of admission."""
         admission = self.home.gate.admission
         free = admission.free_slots()
         return Capacity(admission.limit.current(), free, len(admission.queue))
 
-    def take_over(self) -> None:
-        """Let admission count what is lent, and use what came back."""
+    def update_admission(self) -> None:
+        """Reserve the granted slots in admission and use the returned ones."""
         gate = self.home.gate
         gate.admission.reserved = self.core.reserved
         gate.act(gate.admission.tick(asyncio.get_running_loop().time()))
 
-    async def returned(self, seconds: float) -> None:
+    async def wait_until_returned(self, seconds: float) -> None:
         """Wait until no entry runs a call at the upstream under a grant.
 
-        A stop that did not would cut calls that this node cannot see.
+        This node does not see those calls; a stop without the wait would cut
+        them off.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while self.core.reserved and loop.time() < end:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             self.core.expire(loop.time())
 
     def drain(self) -> None:
-        """Lend nothing any more."""
+        """Stop granting connections and recall those granted."""
         self.core.close()
         self.recall.set()
--- a/sequoiaspoke/node/keyedentry.py
+++ b/sequoiaspoke/node/keyedentry.py
@@ -1,4 +1,4 @@
-"""The entry side of a keyed call: one home, and as many attempts as time allows."""
+"""The entry side of keyed calls: attempts at the key's home until the deadline."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
     from sequoiaspoke.node.config import ConfigSource
     from sequoiaspoke.node.home import HomeCall
 
-# Failures on the way to the home, which may be asked again: its ledger keeps the key
-# from running twice.
-BROKEN = (ConnectError, ConnectionLostError, TruncatedAnswerError)
-# What one node tells another while a version crosses.
-CROSSING = (NotReadyError, WrongHomeError)
-FIRST_PAUSE = 0.05  # seconds; a version that crosses reaches the other node in less
-LONGEST_PAUSE = 1.0
+# Connection failures on the way to the home. A retry is safe: the home's ledger keeps
+# the key from running twice.
+CONNECTION_FAILURES = (ConnectError, ConnectionLostError, TruncatedAnswerError)
+# Refusals while the entry and the home have different versions of the configuration.
+VERSION_MISMATCHES = (NotReadyError, WrongHomeError)
+MIN_BACKOFF = 0.05  # seconds; a new version reaches the other node in less
+MAX_BACKOFF = 1.0
 
 
 class KeyedEntry:
-    """Bring keyed calls to the one home that may run each."""
+    """Send each keyed call to the one home that may run its key."""
 
     def __init__(
         self,
@@ -64,26 +64,28 @@
         Raises
         ------
         CallError
-            There is none; says what is known of every attempt with the key.
+            There is no answer; `ran` combines the results of all attempts.
         """
         key = parse_key(call.headers[names.IDEMPOTENCY_KEY], self.settings)
         results: list[AttemptResult] = []
-        pause = FIRST_PAUSE
+        backoff = MIN_BACKOFF
         while True:
             try:
                 return await self.attempt(call, key)
             except CallError as error:
                 results.append(AttemptResult(error.ran, error.settled))
-                if not may_ask_again(error, call, pause):
-                    raise told(call.headers, error, tuple(results)) from error
+                if not can_retry(error, call, backoff):
+                    raise error_for_caller(
+                        call.headers, error, tuple(results)
+                    ) from error
                 self.attempts.counters.retried[error.code] += 1
-            await asyncio.sleep(pause * self.rng.uniform(0.5, 1.0))
-            pause = min(2 * pause, LONGEST_PAUSE)
+            await asyncio.sleep(backoff * self.rng.uniform(0.5, 1.0))
+            backoff = min(2 * backoff, MAX_BACKOFF)
             if call.body:
                 call.body.rewind()
 
     async def attempt(self, call: HomeCall, key: Key) -> Answer:
-        """Ask the home that the version in force names."""
+        """Make one attempt at the home that the current version names."""
         endpoint = self.home(call.service, key)
         attempt = replace(call, target=endpoint.target)
         return await self.attempts.attempt(endpoint, attempt)
@@ -110,31 +112,33 @@
         )
 
 
-def may_ask_again(error: CallError, call: HomeCall, pause: float) -> bool:
-    """Return whether another attempt can come to something."""
-    broken = isinstance(error, BROKEN) and not error.remote
-    if not broken and not isinstance(error, CROSSING):
+def can_retry(error: CallError, call: HomeCall, backoff: float) -> bool:
+    """Return whether a retry may succeed before the deadline."""
+    connection_failed = isinstance(error, CONNECTION_FAILURES) and not error.remote
+    if not connection_failed and not isinstance(error, VERSION_MISMATCHES):
         return False
     if call.body is not None and not call.body.replayable:
         return False
-    return asyncio.get_running_loop().time() + pause < call.deadline
+    return asyncio.get_running_loop().time() + backoff < call.deadline
 
 
-def told_of_key(headers: HTTPHeaders, error: CallError) -> CallError:
-    """Return what to tell a caller whose call this node itself refused."""
+def refusal_for_caller(headers: HTTPHeaders, error: CallError) -> CallError:
+    """Return the failure to report for a call that this node itself refused."""
     if names.IDEMPOTENCY_KEY not in headers:
         return error
-    return told(headers, error, (AttemptResult(error.ran, error.settled),))
+    return error_for_caller(headers, error, (AttemptResult(error.ran, error.settled),))
 
 
-def told(
+def error_for_caller(
     headers: HTTPHeaders, error: CallError, results: tuple[AttemptResult, ...]
 ) -> CallError:
-    """Return the failure with what is known of all attempts with the key."""
+    """Return the failure, with `ran` combined from all attempts with the key."""
     first = headers.get(names.IDEMPOTENCY_ATTEMPT, "") == names.FIRST_ATTEMPT
     ran = outcome_for_caller(results, first)
     if ran is error.ran:
         return error
-    known = RemoteError(error.code, error.status, ran, error.detail, error.retry_after)
-    known.settled = error.settled
-    return known
+    combined = RemoteError(
+        error.code, error.status, ran, error.detail, error.retry_after
+    )
+    combined.settled = error.settled
+    return combined
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -1,4 +1,4 @@
-"""The home side of a keyed call: run it once, and give every repeat its answer."""
+"""The home side of keyed calls: run each key once and answer retries from the run."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     WrongHomeError,
 )
 from sequoiaspoke.node import headers as names
-from sequoiaspoke.node.keyedwork import (
-    Work,
+from sequoiaspoke.node.keyedrun import (
+    KeyRun,
     fingerprint,
     read_body,
     refusal,
@@ -52,12 +52,12 @@
     from sequoiaspoke.settings.schema import Settings
 
 MILLISECONDS = 1000
-BATCH = 20  # issued keys in one answer; they are good for the retention
-MINT_STEP = 0.001  # seconds; a key's minted time is rounded down to it
+KEYS_PER_ANSWER = 20  # issued keys in one answer; each is valid for the retention
+KEY_TIME_RESOLUTION = 0.001  # seconds; a key's minted time is rounded down to it
 
 
 class KeyedHome:
-    """Run each key of this VM's target at most once."""
+    """Run each key that belongs to this VM's target at most once."""
 
     def __init__(
         self,
@@ -78,25 +78,25 @@
         started = moment().steady
         self.witness = Witness(self.settings, node.name, node.zone, started)
         self.link = WitnessLink(config, self.core, self.witness)
-        self.works: dict[str, Work] = {}
+        self.runs: dict[str, KeyRun] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.counters: Counter[str] = Counter()
         home.keyed = self
 
     async def start(self, address: str, port: int) -> int:
-        """Begin to ask and answer as a witness; return the port."""
+        """Start to query witnesses and to answer as one; return the port."""
         return await self.link.listen(address, port)
 
     async def linger(self) -> None:
-        """Wait for calls whose callers may have gone, and then for their repeats."""
+        """Wait until all runs have ended, then for retries that fetch their answers."""
         while self.tasks:
             await asyncio.wait(self.tasks)
         ended = self.core.ledger.ended
         while ended:
-            left = ended[-1].finished + self.settings.linger - moment().steady
-            if left <= 0:
+            remaining = ended[-1].finished + self.settings.linger - moment().steady
+            if remaining <= 0:
                 return
-            await asyncio.sleep(left)
+            await asyncio.sleep(remaining)
 
     def ready(self) -> bool:
         """Return whether keys minted now may run here."""
@@ -105,11 +105,11 @@
             return True
         now = moment()
         lease = self.core.lease
-        since = lease.starts_at() + self.settings.clock_margin + MINT_STEP
+        since = lease.starts_at() + self.settings.clock_margin + KEY_TIME_RESOLUTION
         return lease.is_open(now) and since <= now.wall
 
     def close(self) -> None:
-        """Fall silent and give up what still runs."""
+        """Close the witness link and cancel the remaining runs."""
         self.link.close()
         for task in self.tasks:
             task.cancel()
@@ -132,19 +132,19 @@
         )
 
     def issue(self, call: HomeCall) -> Answer:
-        """Return keys, one a line, that this process alone may run.
+        """Return new keys, one per line, that only this process may run.
 
         Raises
         ------
         CallError
-            The node is leaving, or the call is for another target.
+            The node is draining, or the call is for another target.
         """
         self.check_target(call)
         if self.core.draining:
-            raise DrainingError("no keys of a process that is about to end")
+            raise DrainingError("a draining process issues no keys")
         self.counters["issue"] += 1
         identity, wall = self.core.identity, moment().wall
-        keys = [issue_key(identity, wall, self.rng) for _ in range(BATCH)]
+        keys = [issue_key(identity, wall, self.rng) for _ in range(KEYS_PER_ANSWER)]
         text = "".join(f"{key}\n" for key in keys).encode()
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(text))))
         return replayed(KeptAnswer(200, "OK", headers, text), call.method, repeat=False)
@@ -153,7 +153,9 @@
         """Refuse a call that is for another target."""
         identity = self.core.identity
         if (call.service, call.target) != (identity.service, identity.target):
-            raise WrongHomeError(f"{call.service}/{call.target} is not here")
+            raise WrongHomeError(
+                f"{call.service}/{call.target} is not served by this node"
+            )
 
     async def run(self, call: HomeCall) -> Answer:
         """Return the answer of the key's first run.
@@ -161,8 +163,8 @@
         Raises
         ------
         CallError
-            There is none; says whether this attempt ran, and whether the key
-            never will.
+            There is no answer; says whether this attempt ran, and whether it is
+            certain that the key never will.
         """
         self.check_target(call)
         key = parse_key(call.headers.get(names.IDEMPOTENCY_KEY, ""), self.settings)
@@ -174,64 +176,65 @@
             raise refusal(decision)
         if isinstance(decision, Replay):
             return replayed(decision.answer, call.method, repeat=True)
-        joins = isinstance(decision, Join)
-        if not joins:
-            self.begin(call, key, body)
-        return await self.wait(self.works[key.text], call, key, joins)
+        joined = isinstance(decision, Join)
+        if not joined:
+            self.start_run(call, key, body)
+        return await self.wait(self.runs[key.text], call, key, joined)
 
-    def begin(self, call: HomeCall, key: Key, body: bytes) -> None:
-        """Run a new key, whatever becomes of its caller.
+    def start_run(self, call: HomeCall, key: Key, body: bytes) -> None:
+        """Start the run of a new key in a task of its own.
 
-        A caller who goes away mid-way would otherwise cancel a call that the
-        upstream already works on, and its repeat would get no answer.
+        If the run ended with the caller's connection, a caller that disconnects
+        would cancel a call that the upstream already runs, and a retry would get
+        no answer.
         """
         loop = asyncio.get_running_loop()
-        work = Work(loop.create_future())
-        self.works[key.text] = work
+        key_run = KeyRun(loop.create_future())
+        self.runs[key.text] = key_run
         attempt = replace(
             call,
             body=WholeBody(body) if call.body else None,
-            before_send=lambda: self.check(key),
+            before_send=lambda: self.check_hand_over(key),
             patience=self.settings.patience,
         )
-        task = loop.create_task(self.work(work, attempt, key))
+        task = loop.create_task(self.execute(key_run, attempt, key))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def check(self, key: Key) -> None:
-        """Refuse a call that may no longer be handed over."""
+    def check_hand_over(self, key: Key) -> None:
+        """Refuse a call that may no longer be handed to the upstream."""
         self.link.refresh()
         decision = self.core.hand_over(key, moment())
         if isinstance(decision, Refuse):
             self.counters["refused-at-hand-over"] += 1
             raise refusal(decision)
 
-    async def work(self, work: Work, call: HomeCall, key: Key) -> None:
-        """Run a call and settle its key."""
+    async def execute(self, key_run: KeyRun, call: HomeCall, key: Key) -> None:
+        """Run a call and record the outcome of its key."""
         try:
             answer = await self.home.run_now(call)
-            kept = await self.keep(work, answer)
+            kept = await self.read_answer(key_run, answer)
             self.core.finished(key, kept, moment())
-            work.done.set_result(kept)
+            key_run.done.set_result(kept)
         except CallError as error:
-            self.fail(work, key, error)
+            self.fail(key_run, key, error)
         except BaseException as error:
-            self.fail(work, key, CallError(f"internal: {type(error).__name__}"))
+            self.fail(key_run, key, CallError(f"internal: {type(error).__name__}"))
             log.opt(exception=error).error("keyed-call-crashed", key=key.text)
             raise
         finally:
-            self.works.pop(key.text, None)
+            self.runs.pop(key.text, None)
 
-    def fail(self, work: Work, key: Key, error: CallError) -> None:
-        """Settle a key whose call got no whole answer."""
+    def fail(self, key_run: KeyRun, key: Key, error: CallError) -> None:
+        """Record the failure of a run that got no complete answer."""
         failure = refusal(self.core.failed(key, error, moment()))
         failure.settled = failure.settled or error.settled
-        if not work.done.done():
-            work.done.set_exception(failure)
-            work.done.exception()
+        if not key_run.done.done():
+            key_run.done.set_exception(failure)
+            key_run.done.exception()
 
-    async def keep(self, work: Work, answer: Answer) -> KeptAnswer:
-        """Read a short answer whole; leave a long one to the first caller."""
+    async def read_answer(self, key_run: KeyRun, answer: Answer) -> KeptAnswer:
+        """Read a short answer in full; pass a long one on to the first caller."""
         chunks: list[bytes] = []
         size = 0
         headers = tuple(names.end_to_end(answer.headers).get_all())
@@ -239,42 +242,44 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > self.settings.answer_bytes:
-                self.stream(work, answer, b"".join(chunks))
+                self.stream(key_run, answer, b"".join(chunks))
                 return KeptAnswer(answer.status, answer.reason, headers, None)
         answer.close()
         return KeptAnswer(answer.status, answer.reason, headers, b"".join(chunks))
 
-    def stream(self, work: Work, answer: Answer, start: bytes) -> None:
-        """Hand the rest of a long answer to the first caller, if it waits."""
-        if work.alone:
+    def stream(self, key_run: KeyRun, answer: Answer, start: bytes) -> None:
+        """Pass a long answer on to the first caller, if it still waits."""
+        if key_run.first_caller_gone:
             answer.close()
             return
         answer.body.unread(start)
-        work.stream = answer
+        key_run.stream = answer
 
-    async def wait(self, work: Work, call: HomeCall, key: Key, joins: bool) -> Answer:
-        """Wait for a run's answer until the call's own deadline."""
+    async def wait(
+        self, key_run: KeyRun, call: HomeCall, key: Key, joined: bool
+    ) -> Answer:
+        """Wait for a run's answer until this call's deadline."""
         try:
             async with asyncio.timeout_at(call.deadline):
-                kept = await asyncio.shield(work.done)
+                kept = await asyncio.shield(key_run.done)
         except TimeoutError:
-            work.alone = work.alone or not joins
-            raise self.too_late(key) from None
+            key_run.first_caller_gone = key_run.first_caller_gone or not joined
+            raise self.deadline_error(key) from None
         except asyncio.CancelledError:
-            work.alone = work.alone or not joins
-            if work.stream and not joins:
-                work.stream.close()
+            key_run.first_caller_gone = key_run.first_caller_gone or not joined
+            if key_run.stream and not joined:
+                key_run.stream.close()
             raise
-        if work.stream and not joins:
-            return work.stream
+        if key_run.stream and not joined:
+            return key_run.stream
         if kept.body is None:
             raise AnswerNotKeptError
-        return replayed(kept, call.method, repeat=joins)
+        return replayed(kept, call.method, repeat=joined)
 
-    def too_late(self, key: Key) -> CallError:
-        """Return what to tell when the deadline passes first."""
+    def deadline_error(self, key: Key) -> CallError:
+        """Return the failure of a call whose deadline passes before its run ends."""
         entry = self.core.ledger.get(key)
         if entry is None or entry.state is not State.QUEUED:
-            return DeadlineUnknownError("the upstream still works on the key")
+            return DeadlineUnknownError("the upstream is still running the key's call")
         error = DeadlineNotRunError("still queued")
         return refusal(self.core.failed(key, error, moment()))
--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Keyed calls through real sockets: entry, home, witnesses and upstream."""
+"""Tests of keyed calls over real sockets: entry, home, witnesses and upstream."""
 
 import asyncio
 from dataclasses import replace
@@ -27,13 +27,13 @@
     return request("POST", path, f"{names.IDEMPOTENCY_KEY}: {key}", *lines, body=body)
 
 
-def told(answer):
-    """Return status, reason and whether it ran."""
+def outcome(answer):
+    """Return the status, the reason and whether the call ran."""
     return status(answer), header(answer, names.REASON), header(answer, names.RAN)
 
 
 class KeyedCase(LoopbackTestCase):
-    """Two zones with one target each; keys are of the first."""
+    """Two zones with one target each; the keys belong to the first zone."""
 
     RULES = (
         "[rule book]\nwhen = always\nthen = route fleet\nidempotent = no\ntimeout = 2\n"
@@ -58,12 +58,12 @@
         await deployment.keys_run(30)
 
 
-class RepeatTests(KeyedCase):
-    def test_repeat_through_another_zone_gets_the_first_answer(self):
+class RetryTests(KeyedCase):
+    def test_retry_through_another_zone_gets_the_first_answer(self):
         async def test(deployment, ports, key):
             first = await raw(ports[0], book(key))
             again = await raw(ports[1], book(key))
-            self.assertEqual((200, "", "ran"), told(first))
+            self.assertEqual((200, "", "ran"), outcome(first))
             self.assertEqual(body_of(first), body_of(again))
             self.assertEqual(
                 ("", "yes"), (header(first, names.REPEAT), header(again, names.REPEAT))
@@ -72,11 +72,11 @@
 
         self.run_keyed(test)
 
-    def test_a_call_that_enters_at_its_home_is_counted_out(self):
-        """Foremen book through the node of the very target that runs the booking.
+    def test_a_call_that_enters_at_its_home_does_not_stay_in_flight(self):
+        """The entry of a keyed call is also its home.
 
-        Were each booking counted as still running there, that target would look
-        fuller with every call, and at last get none.
+        If the entry kept counting such a call as in flight, the target's load
+        would grow with every call until the balancer chose it no more.
         """
 
         async def test(deployment, ports, key):
@@ -88,9 +88,10 @@
 
         self.run_keyed(test)
 
-    def test_repeat_of_a_caller_who_went_away(self):
-        """A foreman's line drops while his booking runs, and he books again. He
-        must get that booking's answer, and no second crusher.
+    def test_retry_after_the_caller_disconnected(self):
+        """A caller disconnects while its call runs, and retries.
+
+        The retry must get the answer of the first run, without a second run.
         """
 
         async def test(deployment, ports, key):
@@ -99,15 +100,17 @@
             await until(lambda: runs(deployment) == 1)
             call.cancel()
             again = await raw(ports[0], slow)
-            self.assertEqual((200, "", "ran"), told(again))
+            self.assertEqual((200, "", "ran"), outcome(again))
             self.assertEqual("yes", header(again, names.REPEAT))
             self.assertEqual(1, runs(deployment))
 
         self.run_keyed(test)
 
-    def test_long_answer_is_whole_once(self):
-        """An answer is too large to keep. Its first caller gets all of it; a repeat
-        must hear that the call ran, not see a shorter success.
+    def test_long_answer_is_streamed_once(self):
+        """An answer is too large to keep.
+
+        The first caller gets all of it; a retry must be told that the call ran,
+        not get a shortened success.
         """
 
         async def test(deployment, ports, key):
@@ -115,7 +118,7 @@
             first = await raw(ports[1], request("GET", LARGE, line))
             again = await raw(ports[1], request("GET", LARGE, line))
             self.assertEqual(200_000, len(body_of(first)))
-            self.assertEqual((410, "answer-not-kept", "ran"), told(again))
+            self.assertEqual((410, "answer-not-kept", "ran"), outcome(again))
 
         self.run_keyed(test)
 
@@ -123,14 +126,15 @@
         async def test(deployment, ports, key):
             await raw(ports[0], book(key))
             other = await raw(ports[1], book(key, body=b"crusher 8"))
-            self.assertEqual((422, "key-reused"), told(other)[:2])
+            self.assertEqual((422, "key-reused"), outcome(other)[:2])
             self.assertEqual(1, runs(deployment))
 
         self.run_keyed(test)
 
-    def test_planned_stop_answers_repeats(self):
-        """A node stops as planned just after a booking whose answer was lost. The
-        caller asks again within the drain and gets it.
+    def test_draining_home_answers_retries(self):
+        """A node drains just after a call whose answer was lost.
+
+        A retry during the drain gets the answer; a new key is refused.
         """
 
         async def test(deployment, ports, key):
@@ -142,10 +146,10 @@
             again = await raw(ports[1], book(key))
             self.assertEqual(body_of(first), body_of(again))
             fresh = await raw(ports[1], book(f"{ZONE}/{uuid7()}"))
-            self.assertEqual((503, "draining", "not-run"), told(fresh))
+            self.assertEqual((503, "draining", "not-run"), outcome(fresh))
             home.keyed.settings = replace(home.keyed.settings, linger=0.0)
             stop.cancel()
-            home.draining = False  # so that the deployment can stop it in full
+            home.draining = False  # so that the deployment can stop it completely
 
         self.run_keyed(test)
 
@@ -155,38 +159,41 @@
         async def test(deployment, ports, key):
             call = book(key, f"Standin-Fault: {name}")
             first = await raw(ports[1], call)
-            self.assertEqual(expected, told(first)[1])
+            self.assertEqual(expected, outcome(first)[1])
             again = await raw(ports[1], book(key))
-            self.assertEqual((409, "key-outcome-unknown"), told(again)[:2])
+            self.assertEqual((409, "key-outcome-unknown"), outcome(again)[:2])
             self.assertEqual(ran, runs(deployment))
 
         self.run_keyed(test)
 
     def test_break_before_the_answer(self):
-        """The upstream's process dies after it charged a member. Nobody can know,
-        and a repeat must not charge again.
+        """The connection breaks after the upstream ran the call.
+
+        The outcome is unknown, and a retry must not run the call again.
         """
         self.fault("break-after", "connection-lost", 1)
 
-    def test_break_while_the_order_is_sent(self):
+    def test_break_while_the_request_is_sent(self):
         self.fault("break-within", "connection-lost", 0)
 
     def test_break_within_the_answer(self):
         self.fault("truncate", "answer-truncated", 1)
 
     def test_upstream_down_was_not_run_and_never_will_be(self):
-        """No upstream listens. The caller hears not-run and makes a new key; a late
-        copy of the first attempt must not run when the upstream is back.
+        """The upstream refuses the call because it drains.
+
+        The caller is told `not-run` and may use a new key, so a late copy of the
+        first attempt must not run once the upstream accepts calls again.
         """
 
         async def test(deployment, ports, key):
             upstream = deployment.sites[0].upstream
             upstream.drain()
             first = await raw(ports[1], book(key))
-            self.assertEqual((503, "upstream-shed", "not-run"), told(first))
+            self.assertEqual((503, "upstream-shed", "not-run"), outcome(first))
             upstream.draining = False
             again = await raw(ports[0], book(key))
-            self.assertEqual((503, "key-refused", "not-run"), told(again))
+            self.assertEqual((503, "key-refused", "not-run"), outcome(again))
             self.assertEqual(0, runs(deployment))
 
         self.run_keyed(test)
@@ -194,8 +201,10 @@
 
 class LostHomeTests(KeyedCase):
     def test_home_cut_off_from_its_witnesses(self):
-        """A VM hears no witness any more. A first attempt certainly did not run;
-        of a later one nobody there can say so.
+        """A home gets no answers from its witnesses any more.
+
+        It refuses new keys. Only a first attempt is known not to have run; for a
+        later one the outcome is unknown.
         """
 
         async def test(deployment, ports, key):
@@ -204,34 +213,36 @@
             await until(lambda: not home.ready())
             later = await raw(ports[1], book(key))
             unknown = Ran.OUTCOME_UNKNOWN.value
-            self.assertEqual((503, "window-closed", unknown), told(later))
+            self.assertEqual((503, "window-closed", unknown), outcome(later))
             first = await raw(ports[1], book(key, FIRST))
-            self.assertEqual((503, "window-closed", "not-run"), told(first))
+            self.assertEqual((503, "window-closed", "not-run"), outcome(first))
 
         self.run_keyed(test)
 
     def test_configuration_moves_the_key_between_two_attempts(self):
-        """A booking ran, its answer was lost, and a version gives its key to
-        another target, which knows nothing of it.
+        """A call ran, its answer was lost, and a new version moves its key.
+
+        The new target has no record of the run, so it must refuse the retry.
         """
 
         async def test(deployment, ports, key):
             await self.add_target(deployment)
             fresh = f"{ZONE}/{uuid7()}"
-            self.assertEqual("ran", told(await raw(ports[1], book(fresh)))[2])
+            self.assertEqual("ran", outcome(await raw(ports[1], book(fresh)))[2])
             for site in deployment.sites:
                 site.leaving = site.zone == ZONE and site.upstream.runs_total == 1
             await self.publish(deployment)
             again = await raw(ports[1], book(fresh))
             unknown = Ran.OUTCOME_UNKNOWN.value
-            self.assertEqual((409, "key-too-old", unknown), told(again))
+            self.assertEqual((409, "key-too-old", unknown), outcome(again))
             self.assertEqual(1, runs(deployment))
 
         self.run_keyed(test)
 
     def test_entry_with_an_older_version_catches_up(self):
-        """The entry has not heard yet that the key's target is another. The target
-        it asks refuses, and the entry asks again with the newer version.
+        """The entry does not have the version yet that moves the key.
+
+        The old target refuses, and the entry retries with the newer version.
         """
 
         async def test(deployment, ports, key):
@@ -243,15 +254,17 @@
             call = asyncio.ensure_future(raw(ports[1], book(f"{ZONE}/{uuid7()}")))
             await until(lambda: entry.counters.retried["wrong-home"])
             entry.config.holder.current = newest
-            self.assertEqual((200, "", "ran"), told(await call))
+            self.assertEqual((200, "", "ran"), outcome(await call))
 
         self.run_keyed(test)
 
 
 class IssuedKeyTests(KeyedCase):
     def test_issued_keys_run_without_a_window(self):
-        """A VM hears no witness any more. Calls with keys that it issued itself can
-        run nowhere else, so they run on, once each.
+        """A home gets no answers from its witnesses any more.
+
+        Keys that it issued itself can run nowhere else, so it still runs them,
+        once each.
         """
 
         async def test(deployment, ports, key):
@@ -262,7 +275,7 @@
             await until(lambda: not home.ready())
             for each in (issued[0], issued[0], issued[1]):
                 answer = await raw(ports[1], book(each))
-                self.assertEqual((200, "", "ran"), told(answer))
+                self.assertEqual((200, "", "ran"), outcome(answer))
             self.assertEqual(2, runs(deployment))
 
         self.run_keyed(test)
@@ -275,12 +288,14 @@
     )
 
     def test_rules_see_the_zone_of_the_key(self):
-        """A rule holds in one zone alone. Seen from the entry's zone, a repeat
-        through another zone would go elsewhere and run again.
+        """A rule applies in one zone only.
+
+        If rules saw the entry's zone instead, a retry through another zone would
+        be routed differently and could run again.
         """
 
         async def test(deployment, ports, key):
-            answers = [told(await raw(port, book(key)))[0] for port in ports]
+            answers = [outcome(await raw(port, book(key)))[0] for port in ports]
             self.assertEqual([200, 200], answers)
             self.assertEqual(1, runs(deployment))
 
--- a/sequoiaspoke/tests/test_peerlink.py
+++ b/sequoiaspoke/tests/test_peerlink.py
@@ -1,4 +1,4 @@
-"""Tests of the peer link on loopback sockets."""
+"""Tests of connections between nodes over loopback sockets."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 from testtools.matchers import GreaterThan
 from tornado.netutil import bind_sockets
 
-from sequoiaspoke.core.idempotency import messages as vouching
+from sequoiaspoke.core.idempotency import messages as witness_messages
 from sequoiaspoke.core.idempotency.epoch import Epoch
 from sequoiaspoke.core.membership.settings import MembershipSettings
 from sequoiaspoke.core.snapshot import codec
@@ -31,7 +31,7 @@
 from sequoiaspoke.wire.codec import decode_message, encode_message
 
 LOOPBACK = "127.0.0.1"
-PATIENCE = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
+TIMEOUT = 60.0  # seconds; generous for a slow machine, no assertion depends on it
 DIGEST = "ab" * 16
 STATUS = messages.Status(7, DIGEST, 8, DIGEST, 3, 1, 2, {"rules": DIGEST})
 EPOCH = Epoch(7, "ab" * 8, 3)
@@ -50,25 +50,25 @@
     messages.PartsAnswer((messages.Part(DIGEST, b"bytes"),), busy=True),
     messages.VmsQuestion(3),
     messages.VmsAnswer(4, 3, b"bytes", ("vm-1",)),
-    vouching.Question("vm-1", "booking", "booking-1", 9, EPOCH, EPOCH, EPOCH),
-    vouching.Answer("vm-1", "booking-1", 9, EPOCH, EPOCH, EPOCH),
-    vouching.Answer("vm-1", "booking-1", 9),
+    witness_messages.Question("vm-1", "booking", "booking-1", 9, EPOCH, EPOCH, EPOCH),
+    witness_messages.Answer("vm-1", "booking-1", 9, EPOCH, EPOCH, EPOCH),
+    witness_messages.Answer("vm-1", "booking-1", 9),
 )
 
 
 class MessageTests(TestCase):
-    def test_every_message_survives_the_round_trip(self):
+    def test_every_message_round_trips(self):
         for message in EXAMPLES:
             encoded = encode_message(12, message)
             self.assertEqual((12, message), decode_message(encoded))
 
-    def test_a_heartbeat_stays_at_a_few_dozen_bytes(self):
+    def test_a_heartbeat_is_less_than_48_bytes(self):
         status = messages.Status(1_900_000, DIGEST, 0, "", 270_000, 1)
         self.assertThat(
             48, GreaterThan(len(encode_message(9999, messages.Beat(status))))
         )
 
-    def test_whatever_is_no_message_is_a_typed_error(self):
+    def test_a_malformed_payload_raises_message_error(self):
         rng = random.Random(4)
         whole = [encode_message(12, message) for message in EXAMPLES]
         unknown = whole[2].replace(b"beat", b"boat")
@@ -103,7 +103,7 @@
         self.note(link, number, message)
 
     async def until(self, *event):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while event not in self.events:
                 self.changed.clear()
                 await self.changed.wait()
@@ -116,13 +116,13 @@
 
 
 class BadFrameTests(TestCase):
-    """A peer sends bytes that are no message, too long, or stops in between.
+    """A peer sends a malformed, an oversized or a truncated frame.
 
-    Were the reader to fail as a whole, one broken node would cut its
-    neighbours off from every version.
+    If that stopped the reading of all links, one faulty node would cut its peers
+    off from new versions.
     """
 
-    def test_each_closes_its_own_link_and_harms_no_other(self):
+    def test_a_bad_frame_closes_only_its_own_link(self):
         asyncio.run(self.bad_frames())
 
     async def bad_frames(self):
@@ -152,7 +152,7 @@
         await recorder.until("down", -1)
         await links.close()
 
-    def test_a_refused_connection_is_told(self):
+    def test_a_refused_connection_is_reported(self):
         async def refused():
             recorder = Recorder()
             links = PeerLinks(recorder)
@@ -167,7 +167,7 @@
 
 
 class SourceTests(TestCase):
-    def test_versions_reach_every_node_through_few_watchers(self):
+    def test_versions_reach_every_node_through_two_readers(self):
         asyncio.run(self.three_nodes())
 
     async def three_nodes(self):
@@ -205,14 +205,14 @@
     return replace(
         Settings(),
         node=NodeSettings(name=name, zone="akaki"),
-        platform=PlatformSettings(url=url, timeout=PATIENCE),
-        spread=SpreadSettings(exchange=PATIENCE),
-        membership=MembershipSettings(pause=PATIENCE),
+        platform=PlatformSettings(url=url, timeout=TIMEOUT),
+        spread=SpreadSettings(exchange=TIMEOUT),
+        membership=MembershipSettings(pause=TIMEOUT),
         upstream=UpstreamSettings(target=name, service="fleet"),
     )
 
 
 async def converged(sources, version):
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         while any(source.holder.version < version for source in sources):
             await asyncio.sleep(0.02)
