--- a/sequoiaspoke/node/witnesslink.py
+++ b/sequoiaspoke/node/witnesslink.py
@@ -36,7 +36,7 @@
     """Read the steady clock and the wall clock at nearly the same time.
 
     If the process is preempted between the two readings, the wall clock seems to
-    have jumped, and the home would end its tenure. So a slow reading is retried.
+    have jumped, and the home would end its lease. So a slow reading is retried.
     """
     for _ in range(CLOCK_READINGS):
         steady = time.clock_gettime(time.CLOCK_BOOTTIME)
