--- a/sequoiaspoke/node/app.py
+++ b/sequoiaspoke/node/app.py
@@ -19,7 +19,7 @@
 from sequoiaspoke.node.metrics import CallCounters, Metrics
 from sequoiaspoke.node.server import CallServer
 from sequoiaspoke.node.spreadloop import SpreadSource
-from sequoiaspoke.node.upkeep import Upkeep, publish_load_metrics
+from sequoiaspoke.node.upkeep import ConfigPoller, publish_load_metrics
 from sequoiaspoke.node.watchall import PlatformWatch
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self.home = Home(settings, self.counters, self.rng)
         self.keyed = KeyedHome(settings, self.home, self.config, self.rng)
         self.entry = Entry(settings, self.config, self.home, self.counters, self.rng)
-        self.upkeep = Upkeep(settings, self.config, self.entry, self.home)
+        self.config_poller = ConfigPoller(settings, self.config, self.entry, self.home)
         self.callers = CallServer(self.entry, settings.limits)
         handler = HomeHandler(settings, self.home)
         self.grants = handler.grants
@@ -81,7 +81,7 @@
         self.ports["witness"] = await self.keyed.start(node.address, peer_port)
         self.publish_metrics()
         await self.config.start()
-        self.upkeep.start()
+        self.config_poller.start()
         log.info("node-started", node=node.name, zone=node.zone, **self.ports)
 
     def publish_metrics(self) -> None:
@@ -135,7 +135,7 @@
         except TimeoutError:
             log.warning("grace-over", in_flight=self.in_flight())
         self.mesh.server.stop()
-        self.upkeep.stop()
+        self.config_poller.stop()
         await self.config.stop()
         self.admin.stop()
         for server in (self.callers.server, self.mesh.server, self.admin):
--- a/sequoiaspoke/node/platformclient.py
+++ b/sequoiaspoke/node/platformclient.py
@@ -18,15 +18,15 @@
     from sequoiaspoke.settings.schema import PlatformSettings
 
 BODY_LIMIT = 2 << 20  # the platform holds values up to a megabyte
-OPEN_READS = 64
-HEAD_BYTES = 250  # roughly what a request and the head of its answer take
+MAX_CONCURRENT_READS = 64
+HEAD_ESTIMATE_BYTES = 250  # roughly what a request and the head of its answer take
 OK = 200
 UNCHANGED = 204
 NOT_FOUND = 404
 
 
 @dataclass(frozen=True)
-class Answer:
+class DocumentAnswer:
     """A document as the platform gave it; `body` is None where unchanged."""
 
     revision: int
@@ -61,14 +61,14 @@
         self.client = AsyncHTTPClient(
             resolver=NumericResolver(),
             force_instance=True,
-            max_clients=OPEN_READS,
+            max_clients=MAX_CONCURRENT_READS,
             max_body_size=BODY_LIMIT,
         )
         self.reads = 0
         self.bytes_sent = 0
         self.bytes_received = 0
 
-    async def read(self, document: str) -> Answer:
+    async def read(self, document: str) -> DocumentAnswer:
         """Read a document.
 
         Raises
@@ -79,12 +79,12 @@
         path = f"documents/{quote(document)}"
         return await self._get(path, self.settings.timeout)
 
-    async def watch(self, document: str, after: int, wait: float) -> Answer:
+    async def watch(self, document: str, after: int, wait: float) -> DocumentAnswer:
         """Wait until a document has a later revision; see `read`."""
         path = f"watch/{quote(document)}?after={after}&wait={wait:g}"
         return await self._get(path, wait + self.settings.timeout)
 
-    async def _get(self, path: str, timeout: float) -> Answer:
+    async def _get(self, path: str, timeout: float) -> DocumentAnswer:
         request = HTTPRequest(
             f"{self.settings.url.rstrip('/')}/v1/{path}",
             connect_timeout=self.settings.timeout,
@@ -92,14 +92,14 @@
             follow_redirects=False,
         )
         self.reads += 1
-        self.bytes_sent += HEAD_BYTES
+        self.bytes_sent += HEAD_ESTIMATE_BYTES
         try:
             response = await self._fetch(request)
         except HTTPClientError as error:
             raise _failure(path, error) from error
         except (OSError, ValueError) as error:
             raise PlatformError(f"{path}: {error!r}") from error
-        return self._answer(path, response)
+        return self._to_answer(path, response)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
         # A watch that is no longer wanted is left to end by itself: the library
@@ -108,15 +108,15 @@
         fetching.add_done_callback(lambda done: done.cancelled() or done.exception())
         return await asyncio.shield(fetching)
 
-    def _answer(self, path: str, response: HTTPResponse) -> Answer:
-        self.bytes_received += HEAD_BYTES + len(response.body)
+    def _to_answer(self, path: str, response: HTTPResponse) -> DocumentAnswer:
+        self.bytes_received += HEAD_ESTIMATE_BYTES + len(response.body)
         if response.code == UNCHANGED:
-            return Answer(-1, None)
+            return DocumentAnswer(-1, None)
         try:
             revision = int(response.headers.get("Revision", ""))
         except ValueError as error:
             raise PlatformError(f"{path}: no revision") from error
-        return Answer(revision, response.body)
+        return DocumentAnswer(revision, response.body)
 
     def close(self) -> None:
         """Give up every exchange."""
--- a/sequoiaspoke/node/spreadloop.py
+++ b/sequoiaspoke/node/spreadloop.py
@@ -31,7 +31,7 @@
     from sequoiaspoke.core.spread.messages import Message
     from sequoiaspoke.settings.schema import Settings
 
-TICK = 0.25  # seconds between looks at what is due
+TICK_SECONDS = 0.25  # seconds between looks at what is due
 INCARNATION_BITS = 48
 
 
@@ -56,8 +56,8 @@
         self.links = PeerLinks(self)
         self.platform = PlatformClient(settings.platform)
         self.reads: dict[int, asyncio.Task[None]] = {}
-        self.ticker = PeriodicCallback(self.tick, TICK * 1000)
-        self.carriers: dict[type, Callable[[Any], None]] = {
+        self.ticker = PeriodicCallback(self.tick, TICK_SECONDS * 1000)
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             events.ReadPlatform: self.read,
             events.CancelRead: self.cancel,
             events.OpenLink: self.open,
@@ -111,29 +111,29 @@
 
     def tick(self) -> None:
         """Let the core do what is due."""
-        self.carry_out(self.core.tick(now()))
+        self.execute(self.core.tick(now()))
 
-    def happened(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Hand an event to the core."""
         if not self.stopped:
-            self.carry_out(self.core.handle(event, now()))
+            self.execute(self.core.handle(event, now()))
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         """Do what the core decided."""
         for action in actions:
-            self.carriers[type(action)](action)
+            self.action_handlers[type(action)](action)
 
     def link_up(self, number: int) -> None:
         """Take a connection that stands."""
-        self.happened(events.LinkUp(number))
+        self.handle_event(events.LinkUp(number))
 
     def link_down(self, number: int) -> None:
         """Take the end of a connection."""
-        self.happened(events.LinkDown(number))
+        self.handle_event(events.LinkDown(number))
 
     def received(self, link: int, number: int, message: Message) -> None:
         """Take a message."""
-        self.happened(events.Received(link, number, message))
+        self.handle_event(events.Received(link, number, message))
 
     def read(self, action: events.ReadPlatform) -> None:
         """Start a read or watch."""
@@ -143,7 +143,7 @@
     async def _read(self, action: events.ReadPlatform) -> None:
         event = await self._ask(action)
         self.reads.pop(action.read, None)
-        self.happened(event)
+        self.handle_event(event)
 
     async def _ask(self, action: events.ReadPlatform) -> Event:
         read, document = action.read, action.document
--- a/sequoiaspoke/node/upkeep.py
+++ b/sequoiaspoke/node/upkeep.py
@@ -19,10 +19,10 @@
 
 # Leaving targets must be off new work within seconds; the list itself takes
 # most of those to arrive.
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 
 
-class Upkeep:
+class ConfigPoller:
     """Look at the version in force and the list of VMs from time to time."""
 
     def __init__(
@@ -33,25 +33,25 @@
         self.entry = entry
         self.home = home
         self.timer: asyncio.TimerHandle | None = None
-        self.seen: Snapshot | None = None
+        self.applied: Snapshot | None = None
 
     def start(self) -> None:
         """Look now, and again until stopped."""
-        self.look()
-        self.timer = asyncio.get_running_loop().call_later(LOOK_SECONDS, self.start)
+        self.apply_changes()
+        self.timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self.start)
 
     def stop(self) -> None:
         """Look no more."""
         if self.timer:
             self.timer.cancel()
 
-    def look(self) -> None:
+    def apply_changes(self) -> None:
         """Take over what changed."""
         self.entry.attempts.balancer.set_leaving(leaving_vms(self.config.vms))
         snapshot = self.config.current
-        if snapshot is None or snapshot is self.seen:
+        if snapshot is None or snapshot is self.applied:
             return
-        self.seen = snapshot
+        self.applied = snapshot
         endpoint = find_endpoint(snapshot, self.settings)
         if endpoint:
             slots = min(endpoint.slots, endpoint.connections)
--- a/sequoiaspoke/node/watchall.py
+++ b/sequoiaspoke/node/watchall.py
@@ -34,14 +34,14 @@
 # A watch that ends with an error is asked again after a random part of this;
 # otherwise every node would ask a platform that returns in the same instant.
 RETRY_SECONDS = 1.0
-HEAD_BYTES = 120  # roughly what a request and an answer add to a body
+HEAD_ESTIMATE_BYTES = 120  # roughly what a request and an answer add to a body
 HTTP_PORT = 80
 OK = 200
 NO_CHANGE = 204
 
 
 @dataclass(frozen=True)
-class Reading:
+class PlatformResponse:
     """What the platform answered."""
 
     status: int
@@ -56,9 +56,9 @@
         super().__init__()
         self.settings = settings.platform
         self.rng = rng
-        place = urlsplit(settings.platform.url)
-        self.host = place.netloc
-        address = Address(place.hostname or "", place.port or HTTP_PORT)
+        url = urlsplit(settings.platform.url)
+        self.host = url.netloc
+        address = Address(url.hostname or "", url.port or HTTP_PORT)
         self.pool = Pool(address, settings.limits)
         self.tasks: list[asyncio.Task[None]] = []
         self.newest_vms = VmList()
@@ -103,16 +103,16 @@
             try:
                 path = f"watch/{name}?after={revision}&wait={self.settings.wait:g}"
                 limit = self.settings.wait + self.settings.timeout
-                reading = await self.read(path, limit)
-                if reading.status == NO_CHANGE:
+                response = await self.read(path, limit)
+                if response.status == NO_CHANGE:
                     continue
-                await self.take(name, reading.body)
-                revision = int(reading.headers["Revision"])
+                await self.apply(name, response.body)
+                revision = int(response.headers["Revision"])
             except (CallError, PlatformError, DocumentError, ValueError) as error:
                 log.warning("platform-read-failed", document=name, reason=str(error))
                 await asyncio.sleep(self.rng.uniform(0, RETRY_SECONDS))
 
-    async def take(self, name: str, body: bytes) -> None:
+    async def apply(self, name: str, body: bytes) -> None:
         """Take a document that has changed."""
         if name == VMS_DOCUMENT:
             self.newest_vms = codec.decode_vms(body)
@@ -125,7 +125,7 @@
             )
             self.holder.offer_part(digest, part.body, time.time())
 
-    async def read(self, path: str, timeout: float) -> Reading:
+    async def read(self, path: str, timeout: float) -> PlatformResponse:
         """Read from the platform and count the cost.
 
         Raises
@@ -136,7 +136,7 @@
             It answers with a failure.
         """
         self.reads += 1
-        self.bytes_sent += HEAD_BYTES + len(path)
+        self.bytes_sent += HEAD_ESTIMATE_BYTES + len(path)
         start_line = RequestStartLine("GET", f"/v1/{path}", "HTTP/1.1")
         deadline = asyncio.get_running_loop().time() + timeout
         headers = HTTPHeaders({"Host": self.host})
@@ -151,7 +151,7 @@
         finally:
             answer.close()
         body = b"".join(chunks)
-        self.bytes_received += HEAD_BYTES + len(body)
+        self.bytes_received += HEAD_ESTIMATE_BYTES + len(body)
         if answer.status not in (OK, NO_CHANGE):
             raise PlatformError(f"{path}: status {answer.status}")
-        return Reading(answer.status, answer.headers, body)
+        return PlatformResponse(answer.status, answer.headers, body)
--- a/sequoiaspoke/tests/test_processes.py
+++ b/sequoiaspoke/tests/test_processes.py
@@ -21,8 +21,8 @@
 from sequoiaspoke.measure.bench import Bench
 from sequoiaspoke.measure.plan import CALL_PORT, FleetPlan
 
-PATIENCE = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
-HELD = {"Standin-Hold": "yes"}  # the call runs until it is released
+TIMEOUT = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
+HOLD_HEADERS = {"Standin-Hold": "yes"}  # the call runs until it is released
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
             "once",
             (Condition(Field.PATH, Comparison.PREFIX, ("/once/",)),),
             RouteTo((WeightedService("service-0"),)),
-            CallPolicy(timeout=PATIENCE, idempotent=False),
+            CallPolicy(timeout=TIMEOUT, idempotent=False),
         )
         return (once, *super().rules(version))
 
@@ -45,7 +45,7 @@
 class ProcessTestCase(TestCase):
     def run_with(self, plan, test, node_settings=""):
         async def body():
-            limit = asyncio.timeout(4 * PATIENCE)
+            limit = asyncio.timeout(4 * TIMEOUT)
             async with limit, Bench(plan, node_settings) as bench:
                 vms = bench.plan.vms()
                 for vm in vms[: plan.endpoints]:
@@ -59,12 +59,12 @@
         try:
             url = f"http://{vm.address}:{CALL_PORT}{path}"
             return await client.fetch(
-                url, headers=headers, request_timeout=PATIENCE, raise_error=False
+                url, headers=headers, request_timeout=TIMEOUT, raise_error=False
             )
         finally:
             client.close()
 
-    async def running(self, bench, vms):
+    async def wait_until_running(self, bench, vms):
         """Wait until an upstream runs a call, and return its VM and the other."""
         while True:
             for vm in vms:
@@ -72,7 +72,7 @@
                     return vm, next((each for each in vms if each != vm), None)
             await asyncio.sleep(0.02)
 
-    async def refusing(self, vm):
+    async def wait_until_draining(self, vm):
         """Wait until a node takes no new calls."""
         with contextlib.suppress(OSError):  # the listener is closed already
             while (await self.call(vm, "/service-0/2")).code == 200:
@@ -96,35 +96,35 @@
 
         async def test(bench, vms):
             home, entry = vms
-            call = asyncio.ensure_future(self.call(entry, "/once/1", HELD))
-            await self.running(bench, [home])
+            call = asyncio.ensure_future(self.call(entry, "/once/1", HOLD_HEADERS))
+            await self.wait_until_running(bench, [home])
             bench.nodes[home.name].terminate()
             bench.nodes[entry.name].terminate()
-            await self.refusing(entry)
+            await self.wait_until_draining(entry)
             await bench.upstream_controls[home.name].order("release")
             answer = await call
             self.assertEqual(
                 (200, "ran"), (answer.code, answer.headers["Sequoiaspoke-Ran"])
             )
             for name in bench.nodes:
-                self.assertEqual(0, await bench.nodes[name].ended(PATIENCE))
-            told = await self.runs(bench, home)
-            self.assertEqual(0, told["cancelled"])
+                self.assertEqual(0, await bench.nodes[name].ended(TIMEOUT))
+            report = await self.runs(bench, home)
+            self.assertEqual(0, report["cancelled"])
 
         self.run_with(CallPlan(2), test)
 
 
-class SuddenDeathTests(ProcessTestCase):
+class NodeCrashTests(ProcessTestCase):
     async def kill_home(self, bench, vms, path):
         """Kill the node at the target that runs a call; return the answer."""
         *homes, entry = vms
-        call = asyncio.ensure_future(self.call(entry, path, HELD))
-        home, other = await self.running(bench, homes)
+        call = asyncio.ensure_future(self.call(entry, path, HOLD_HEADERS))
+        home, other = await self.wait_until_running(bench, homes)
         await bench.upstream_controls[other.name].order("release")
         bench.nodes[home.name].kill()
         return await call, home, other
 
-    def test_a_repeatable_call_of_a_killed_node_is_answered_by_another(self):
+    def test_an_idempotent_call_of_a_killed_node_is_answered_by_another(self):
         """A VM's process dies while it holds a call for its upstream.
 
         The entry sees the connection break. A family asking for the ceremony
@@ -138,7 +138,7 @@
 
         self.run_with(CallPlan(3, 1, 2), test)
 
-    def test_a_call_that_may_not_be_repeated_is_told_to_be_unknown(self):
+    def test_a_call_that_may_not_be_retried_ends_with_an_unknown_outcome(self):
         """The same death meets a booking that was already handed over.
 
         Trying it elsewhere could book twice, and "not run" would be a guess,
@@ -158,7 +158,7 @@
 
 
 class PausedNodeTests(ProcessTestCase):
-    def test_a_node_that_wakes_late_ignores_an_older_head(self):
+    def test_a_resumed_node_ignores_an_older_head(self):
         """A VM is paused, and goes on with its old view and old connections.
 
         While it slept, the platform fell back to an older head. A node that
@@ -169,7 +169,7 @@
             (vm,) = vms
             older = codec.encode_head(bench.plan.publication(1).head)
             held = await bench.publish()
-            self.assertEqual(set(), await bench.behind(held.version, PATIENCE))
+            self.assertEqual(set(), await bench.behind(held.version, TIMEOUT))
             reads = (await self.status(bench, vm)).platform_reads
             bench.nodes[vm.name].pause()
             await bench.control.publish(HEAD_DOCUMENT, older)
@@ -178,35 +178,35 @@
                 await asyncio.sleep(0.02)
             self.assertEqual(held.version, status.version)
             newer = await bench.publish()
-            self.assertEqual(set(), await bench.behind(newer.version, PATIENCE))
+            self.assertEqual(set(), await bench.behind(newer.version, TIMEOUT))
             self.assertEqual(0, bench.went_back)
 
         self.run_with(FleetPlan(1, 1, 1), test)
 
-    def test_a_node_that_slept_through_changes_takes_the_newest(self):
+    def test_a_resumed_node_that_missed_versions_installs_the_newest(self):
         """A paused node misses several versions and then wakes up.
 
         It must end on the newest one by itself, while nobody tells it to.
         """
 
         async def test(bench, vms):
-            asleep = bench.nodes[vms[0].name]
-            awake = {vm.name for vm in vms[1:]}
-            asleep.pause()
+            paused = bench.nodes[vms[0].name]
+            others = {vm.name for vm in vms[1:]}
+            paused.pause()
             for _ in range(3):
                 change = await bench.publish()
                 self.assertEqual(
-                    set(), await bench.behind(change.version, PATIENCE, awake)
+                    set(), await bench.behind(change.version, TIMEOUT, others)
                 )
-            asleep.resume()
-            self.assertEqual(set(), await bench.behind(change.version, PATIENCE))
+            paused.resume()
+            self.assertEqual(set(), await bench.behind(change.version, TIMEOUT))
             self.assertEqual(0, bench.went_back)
 
         self.run_with(FleetPlan(3, 1, 1), test)
 
 
 class FreshNodeTests(ProcessTestCase):
-    def test_a_node_that_starts_beside_a_stale_platform_begins_with_the_newest(self):
+    def test_a_node_that_starts_with_a_stale_platform_installs_the_newest(self):
         """A VM is replaced, so its node starts with nothing.
 
         The platform answers with an older moment for a long time. A node that
@@ -216,15 +216,15 @@
         async def test(bench, vms):
             await bench.control.order("keep")
             newest = await bench.publish()
-            self.assertEqual(set(), await bench.behind(newest.version, PATIENCE))
+            self.assertEqual(set(), await bench.behind(newest.version, TIMEOUT))
             await bench.control.fault("stale=yes")
             bench.nodes[vms[0].name].kill()
             bench.start_node(vms[0])
-            await bench.behind(1, PATIENCE, {vms[0].name})
+            await bench.behind(1, TIMEOUT, {vms[0].name})
             status = await self.status(bench, vms[0])
             self.assertEqual(newest.version, status.version)
 
         # Peers may be slow to answer on a busy machine; the wait is generous so
         # that the verdict is about the decision and not about the machine.
-        settings = f"[spread]\ncatch_up_wait = {PATIENCE}\n"
+        settings = f"[spread]\ncatch_up_wait = {TIMEOUT}\n"
         self.run_with(FleetPlan(4, 1, 1), test, settings)
--- a/sequoiaspoke/tests/test_settings.py
+++ b/sequoiaspoke/tests/test_settings.py
@@ -5,7 +5,7 @@
 from sequoiaspoke.errors import SettingsError
 from sequoiaspoke.settings.load import parse_settings
 
-WHOLE = """\
+COMPLETE = """\
 [node]
 name = akaki-fleet-1
 zone = akaki
@@ -23,13 +23,13 @@
 
 class ParseSettingsTests(TestCase):
     def test_given_values_replace_defaults(self):
-        settings = parse_settings(WHOLE)
+        settings = parse_settings(COMPLETE)
         self.assertEqual("akaki", settings.node.zone)
         self.assertEqual(80, settings.node.call_port)
         self.assertEqual(8081, settings.node.mesh_port)
 
     def test_every_problem_is_reported_at_once_with_its_place(self):
-        text = WHOLE.replace("call_port = 80", "call_port = 80a\ncolour = red")
+        text = COMPLETE.replace("call_port = 80", "call_port = 80a\ncolour = red")
         text = text.replace("10.0.0.1", "localhost") + "\n[nodes]\n"
         text = text.replace("service = fleet\n", "")
         error = self.assertRaises(SettingsError, parse_settings, text, "n.ini")
@@ -47,10 +47,10 @@
             "found '80a'; allowed: a whole number from 0 to 65535", str(error)
         )
 
-    def test_a_broken_form_is_reported_with_its_line(self):
+    def test_a_syntax_error_is_reported_with_its_line(self):
         error = self.assertRaises(SettingsError, parse_settings, "[node]\nzone\n", "f")
         self.assertEqual(2, error.problems[0].line)
 
     def test_a_key_given_twice_is_an_error(self):
-        text = WHOLE.replace("zone = akaki", "zone = akaki\nzone = bole")
+        text = COMPLETE.replace("zone = akaki", "zone = akaki\nzone = bole")
         self.assertRaises(SettingsError, parse_settings, text)
--- a/sequoiaspoke/wire/codec.py
+++ b/sequoiaspoke/wire/codec.py
@@ -45,7 +45,7 @@
 BY_QUESTION = {method.question: method for method in METHODS}
 BY_ANSWER = {method.answer: method for method in METHODS if method.answer}
 # The heartbeat is its status alone on the wire, without a struct round it.
-BARE = {messages.Beat: messages.Status, messages.BeatAnswer: messages.Status}
+STATUS_ONLY = {messages.Beat: messages.Status, messages.BeatAnswer: messages.Status}
 STRUCTS = {
     messages.Status: ttypes.Status,
     messages.Hello: ttypes.Hello,
@@ -101,7 +101,7 @@
 
 
 def _body(message: Any, method: Method | None) -> Any:
-    inner = message.status if type(message) in BARE else message
+    inner = message.status if type(message) in STATUS_ONLY else message
     struct = to_struct(inner)
     if method:
         return getattr(PeerLink, f"{method.name}_args")(question=struct)
@@ -144,11 +144,13 @@
     struct = getattr(PeerLink, args)()
     struct.read(protocol)
     protocol.readMessageEnd()
-    inner = getattr(struct, field)
-    if inner is None:
+    body = getattr(struct, field)
+    if body is None:
         raise MessageError(f"{args} is empty")
-    bare = BARE.get(cls)
-    return cls(from_struct(bare, inner)) if bare else from_struct(cls, inner)
+    status_class = STATUS_ONLY.get(cls)
+    return (
+        cls(from_struct(status_class, body)) if status_class else from_struct(cls, body)
+    )
 
 
 def to_struct(message: Any) -> Any:
