--- a/sequoiaspoke/node/__init__.py
+++ b/sequoiaspoke/node/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, files and timers round the core."""
+"""The shell around the core: sockets, files and timers."""
--- a/sequoiaspoke/node/admin.py
+++ b/sequoiaspoke/node/admin.py
@@ -1,4 +1,4 @@
-"""The operators' pages of a node."""
+"""The admin pages of a node: metrics, status, configuration and health."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 
 class Page(RequestHandler):
-    """A page about one node."""
+    """Base class of the pages about one node."""
 
     node: Node
 
     def initialize(self, node: Node) -> None:
-        """Keep the node that the page is about."""
+        """Set the node that the page describes."""
         self.node = node
 
     def write_json(self, value: Any) -> None:
-        """Answer with JSON that a person can read."""
+        """Answer with indented JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(value, indent=2, sort_keys=True) + "\n")
 
 
 class MetricsPage(Page):
-    """Every counter in the collectors' text format."""
+    """All metrics in the Prometheus text format."""
 
     def get(self) -> None:
-        """Answer with the counters."""
+        """Answer with the metrics."""
         self.set_header("Content-Type", METRICS_TYPE)
         self.finish(self.node.metrics.page())
 
 
 class StatusPage(Page):
-    """The node at a glance."""
+    """A summary of the node's state."""
 
     def get(self) -> None:
         """Answer with the node's status."""
@@ -50,7 +50,7 @@
 
 
 class ConfigPage(Page):
-    """The version in force, as published."""
+    """The version of the configuration in force, as published."""
 
     def get(self) -> None:
         """Answer with the head, the rules and the services."""
@@ -70,10 +70,10 @@
 
 
 class ReadyPage(Page):
-    """Whether callers may be sent here."""
+    """Readiness check: whether the node can serve callers."""
 
     def get(self) -> None:
-        """Answer 200 when the node serves, else 503."""
+        """Answer 200 if the node is ready, else 503."""
         ready = self.node.ready
         if not ready:
             self.set_status(NOT_READY_STATUS)
@@ -81,7 +81,7 @@
 
 
 class LivePage(Page):
-    """Whether the process answers at all."""
+    """Liveness check: whether the process answers."""
 
     def get(self) -> None:
         """Answer 200."""
@@ -89,7 +89,7 @@
 
 
 def admin_server(node: Node) -> HTTPServer:
-    """Build the server of the operators' pages."""
+    """Build the server of the admin pages."""
     context = {"node": node}
     return HTTPServer(
         Application(
--- a/sequoiaspoke/node/app.py
+++ b/sequoiaspoke/node/app.py
@@ -1,4 +1,4 @@
-"""One node: its listeners, its configuration source and its planned stop."""
+"""One node: its listeners, configuration source and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Node:
-    """The process in the slot of one upstream VM."""
+    """The process that runs beside one upstream."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -55,16 +55,16 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether the node can serve callers."""
         return self.config.verified and not self.draining
 
     async def start(self) -> None:
-        """Listen, then follow the configuration.
+        """Start the listeners, then follow the configuration.
 
         Raises
         ------
         AddressInUseError
-            A port of the settings is taken.
+            A configured port is in use.
         """
         node = self.settings.node
         listeners: dict[str, tuple[TCPServer, str, int]] = {
@@ -85,7 +85,7 @@
         log.info("node-started", node=node.name, zone=node.zone, **self.ports)
 
     def publish_metrics(self) -> None:
-        """Put the counters of every part on the metrics page."""
+        """Register the counters and gauges of every component."""
         self.metrics.calls(self.counters)
         publish_load_metrics(self.metrics, self.entry, self.home, self.grants.core)
         holder = self.config.holder
@@ -108,12 +108,13 @@
         self.keyed.publish(self.metrics)
 
     async def stop(self) -> None:
-        """Leave without cutting a call in flight.
+        """Shut down without cutting off calls in flight.
 
-        New work is refused as not run first, so that other nodes turn away;
-        the listeners close after that, and the calls in flight finish within
-        the grace of the settings. Other nodes reach this one for a little
-        longer, since nobody else can answer repeats of the keys that ran here.
+        New calls are first refused as not run while the listeners stay open, so
+        that other nodes choose other targets. Then the listener for callers closes,
+        and calls in flight have the configured grace to finish. The listener for
+        other nodes closes later, since only this node can answer retries of the
+        keys that ran here.
         """
         if self.draining:
             return
@@ -147,15 +148,15 @@
         log.info("node-stopped", node=self.settings.node.name)
 
     def in_flight(self) -> int:
-        """Return the calls that have not ended yet."""
+        """Return the number of calls in flight."""
         return self.callers.in_flight + self.mesh.in_flight
 
     def crashed(self) -> int:
-        """Return the calls that met an error of the program itself."""
+        """Return the number of calls that failed with an unexpected exception."""
         return self.callers.crashed + self.mesh.crashed
 
     def status(self) -> dict[str, Any]:
-        """Return what the status page shows."""
+        """Return the content of the status page."""
         source = self.config.status()
         holder = self.config.holder
         refused = holder.last_refused
@@ -193,19 +194,19 @@
 
 
 def config_source(settings: Settings, rng: random.Random) -> ConfigSource:
-    """Return the way to the configuration that the settings choose."""
+    """Return the configuration source that the settings select."""
     if settings.spread.strategy == "watch-all":
         return PlatformWatch(settings, rng)
     return SpreadSource(settings, rng)
 
 
 def listen(server: TCPServer, address: str, port: int) -> int:
-    """Listen and return the port, which is a free one where 0 was asked.
+    """Listen and return the port; for port 0 the system picks a free one.
 
     Raises
     ------
     AddressInUseError
-        The port is taken.
+        The port is in use.
     """
     try:
         sockets: list[socket.socket] = bind_sockets(port, address)
--- a/sequoiaspoke/node/config.py
+++ b/sequoiaspoke/node/config.py
@@ -1,4 +1,4 @@
-"""Where a node's configuration comes from."""
+"""The interface of configuration sources."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True)
 class SourceStatus:
-    """What a source tells operators about itself.
+    """State of a configuration source, for the status page.
 
     Attributes
     ----------
     control_bytes_sent, control_bytes_received : int
-        Bytes spent on configuration since the start.
+        Bytes exchanged to get the configuration since the start.
     platform_reads : int
-        Calls to the platform since the start; a waiting watch is one.
+        Requests to the platform since the start; a watch counts as one.
     """
 
     strategy: str
@@ -39,14 +39,17 @@
 
 
 class ConfigSource(ABC):
-    """Keeps the newest accepted version in force at this node."""
+    """Gets new versions and keeps the newest valid one in force."""
 
     def __init__(self) -> None:
         self.holder = SnapshotHolder()
 
     @property
     def current(self) -> Snapshot | None:
-        """Return the snapshot in force; a call reads it once."""
+        """Return the snapshot in force.
+
+        Each call reads it only once, so that one version decides the whole call.
+        """
         return self.holder.current
 
     @property
@@ -56,27 +59,27 @@
 
     @property
     def verified(self) -> bool:
-        """Return whether the version in force may decide calls."""
+        """Return whether calls may be routed by the version in force."""
         return self.current is not None
 
     @property
     def counters(self) -> Mapping[str, Counter[str]]:
-        """Return counters of events by the name of their metric."""
+        """Return event counters by the names of their metrics."""
         return {}
 
     @property
     def peer_server(self) -> TCPServer | None:
-        """Return the server for other nodes' links, if there is one."""
+        """Return the server that accepts links from other nodes, if any."""
         return None
 
     @abstractmethod
     async def start(self) -> None:
-        """Begin to follow the configuration."""
+        """Start to follow the configuration."""
 
     @abstractmethod
     async def stop(self) -> None:
-        """End every exchange."""
+        """Stop to follow it, and close all connections."""
 
     @abstractmethod
     def status(self) -> SourceStatus:
-        """Return what operators want to see."""
+        """Return the state of this source for the status page."""
--- a/sequoiaspoke/node/metrics.py
+++ b/sequoiaspoke/node/metrics.py
@@ -1,8 +1,8 @@
-"""Counters and latencies of a node, read by OpenTelemetry when it is asked.
+"""Counters and latencies of a node, which OpenTelemetry reads at each scrape.
 
-The hot path only adds to plain counters; the metrics library reads them when
-an operator's collector asks. Recording through the library on every call would
-cost a good part of the half millisecond that a hop has for its decisions.
+Calls only increment plain counters; the metrics library reads them when an
+operator's collector scrapes the node. Recording every call through the library would
+take a large share of the half millisecond that each hop may add to a call.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass
 class CallCounters:
-    """What became of the calls of this node."""
+    """Counts the outcomes of the calls of this node."""
 
     calls: Counter[str] = field(default_factory=Counter)  # by service
-    refused: Counter[str] = field(default_factory=Counter)  # by reason, not run
+    refused: Counter[str] = field(default_factory=Counter)  # by reason; not run
     unknown: Counter[str] = field(default_factory=Counter)  # by reason
     retried: Counter[str] = field(default_factory=Counter)  # by reason
     latency: HdrHistogram = field(
@@ -44,7 +44,7 @@
     )
 
     def failed(self, error: CallError) -> None:
-        """Count a failure that a caller was told."""
+        """Count a failure that was reported to a caller."""
         counter = self.refused if error.ran is Ran.NOT_RUN else self.unknown
         counter[error.code] += 1
 
@@ -54,11 +54,11 @@
 
 
 class Metrics:
-    """The metrics page: counters of the node's parts under their names."""
+    """The metrics page: the counters and gauges of the node's components."""
 
     def __init__(self) -> None:
-        # Imported here, since commands that need no metrics start faster and
-        # smaller without the library.
+        # Imported here, so that commands without metrics start faster and use less
+        # memory.
         from opentelemetry.exporter.prometheus import PrometheusMetricReader
         from opentelemetry.sdk.metrics import MeterProvider
         from opentelemetry.sdk.resources import Resource
@@ -68,14 +68,14 @@
         self.reader = PrometheusMetricReader(
             disable_target_info=True, scope_info_enabled=False, registry=self.registry
         )
-        # Without a resource of its own the library looks for one on threads.
+        # Without an explicit resource, the library starts threads to detect one.
         self.provider = MeterProvider(
             [self.reader], resource=Resource.get_empty(), shutdown_on_exit=False
         )
         self.meter = self.provider.get_meter("sequoiaspoke")
 
     def count(self, name: str, doc: str, label: str, source: Mapping[str, int]) -> None:
-        """Publish a counter that is kept elsewhere, one series for each key."""
+        """Publish a mapping of counters, with one series for each key."""
         from opentelemetry.metrics import Observation
 
         def read(_: CallbackOptions) -> Iterable[Observation]:
@@ -84,7 +84,7 @@
         self.meter.create_observable_counter(name, [read], description=doc)
 
     def gauge(self, name: str, doc: str, read_value: Callable[[], float]) -> None:
-        """Publish a value that is read when asked."""
+        """Publish a value that is read at each scrape."""
         from opentelemetry.metrics import Observation
 
         def read(_: CallbackOptions) -> Iterable[Observation]:
@@ -93,7 +93,7 @@
         self.meter.create_observable_gauge(name, [read], description=doc)
 
     def latencies(self, name: str, doc: str, histogram: HdrHistogram) -> None:
-        """Publish percentiles of a histogram, in seconds."""
+        """Publish the percentiles of a histogram, in seconds."""
         from opentelemetry.metrics import Observation
 
         def read(_: CallbackOptions) -> Iterable[Observation]:
@@ -108,7 +108,7 @@
         self.meter.create_observable_gauge(name, [read], description=doc)
 
     def calls(self, counters: CallCounters) -> None:
-        """Publish what became of the calls."""
+        """Publish the outcomes and latencies of calls."""
         self.count("sequoiaspoke_calls", "Calls answered", "service", counters.calls)
         self.count(
             "sequoiaspoke_refused",
@@ -131,11 +131,11 @@
         self.latencies("sequoiaspoke_call_seconds", "Time to answer", counters.latency)
 
     def page(self) -> bytes:
-        """Return the page in the collectors' text format."""
+        """Return the metrics in the Prometheus text format."""
         from prometheus_client import generate_latest
 
         return generate_latest(self.registry)
 
     def close(self) -> None:
-        """Free the library's readers."""
+        """Shut the metrics library down."""
         self.provider.shutdown()
--- a/sequoiaspoke/node/platformclient.py
+++ b/sequoiaspoke/node/platformclient.py
@@ -17,9 +17,9 @@
 
     from sequoiaspoke.settings.schema import PlatformSettings
 
-BODY_LIMIT = 2 << 20  # the platform holds values up to a megabyte
+BODY_LIMIT = 2 << 20  # bytes; the platform stores values of up to a megabyte
 MAX_CONCURRENT_READS = 64
-HEAD_ESTIMATE_BYTES = 250  # roughly what a request and the head of its answer take
+HEAD_ESTIMATE_BYTES = 250  # rough size of a request, or of a response head
 OK = 200
 UNCHANGED = 204
 NOT_FOUND = 404
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class DocumentAnswer:
-    """A document as the platform gave it; `body` is None where unchanged."""
+    """A document as the platform returned it; `body` is None if unchanged."""
 
     revision: int
     body: bytes | None
@@ -40,7 +40,7 @@
 
 
 class PlatformRefusedError(PlatformError):
-    """The platform asks to come back later."""
+    """The platform refused the read and said when to retry."""
 
     code = "platform-refused"
 
@@ -50,10 +50,10 @@
 
 
 class PlatformClient:
-    """Asks the platform; every exchange has a deadline.
+    """Reads documents from the platform; every request has a deadline.
 
-    A connection that goes silent is closed at the deadline, and the next
-    exchange opens a new one.
+    A connection without an answer is closed at the deadline, and the next request
+    opens a new one.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -74,13 +74,13 @@
         Raises
         ------
         PlatformError
-            There is no usable answer in time.
+            No usable answer arrived in time.
         """
         path = f"documents/{quote(document)}"
         return await self._get(path, self.settings.timeout)
 
     async def watch(self, document: str, after: int, wait: float) -> DocumentAnswer:
-        """Wait until a document has a later revision; see `read`."""
+        """Wait until a document has a newer revision; see `read`."""
         path = f"watch/{quote(document)}?after={after}&wait={wait:g}"
         return await self._get(path, wait + self.settings.timeout)
 
@@ -102,8 +102,8 @@
         return self._to_answer(path, response)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
-        # A watch that is no longer wanted is left to end by itself: the library
-        # has no way to give one up, and complains about a cancelled future.
+        # A cancelled read goes on in the background until it ends: Tornado's client
+        # cannot abort a request, and logs an error if its future is cancelled.
         fetching = asyncio.ensure_future(self.client.fetch(request))
         fetching.add_done_callback(lambda done: done.cancelled() or done.exception())
         return await asyncio.shield(fetching)
@@ -119,7 +119,7 @@
         return DocumentAnswer(revision, response.body)
 
     def close(self) -> None:
-        """Give up every exchange."""
+        """Close the client and all its connections."""
         self.client.close()
 
 
--- a/sequoiaspoke/node/resolver.py
+++ b/sequoiaspoke/node/resolver.py
@@ -1,4 +1,4 @@
-"""Resolves addresses, which are IP numbers, without a thread."""
+"""Resolve numeric IP addresses without a thread."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class NumericResolver(Resolver):
-    """Takes IP numbers as they are.
+    """Returns IP addresses unchanged; resolves no names.
 
-    The library's own resolver asks the operating system on a thread of a pool,
-    also for numbers. Each thread costs memory and a start on the way of a call,
-    and a node runs one loop on one thread.
+    Tornado's default resolver calls the operating system on a pool of threads, even
+    for numeric addresses. Each thread takes memory, starting it delays a call, and a
+    node runs a single event loop on one thread.
     """
 
     async def resolve(
         self, host: str, port: int, family: int = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
-        """Return the one address that the number is."""
+        """Return the address itself with its family."""
         if family == socket.AF_UNSPEC:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
         return [(family, (host, port))]
--- a/sequoiaspoke/node/spreadloop.py
+++ b/sequoiaspoke/node/spreadloop.py
@@ -1,4 +1,4 @@
-"""Runs the spread core with real time, sockets and reads of the platform."""
+"""Run the spread core with real time, sockets and reads of the platform."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
     from sequoiaspoke.core.spread.messages import Message
     from sequoiaspoke.settings.schema import Settings
 
-TICK_SECONDS = 0.25  # seconds between looks at what is due
+TICK_SECONDS = 0.25  # interval at which the core's timers are checked
 INCARNATION_BITS = 48
 
 
 def now() -> float:
-    """Return seconds that also pass while the VM itself is suspended."""
-    # The loop's own clock stands still with the VM: a node that was moved to
-    # another host for a minute would wake up without noticing.
+    """Return the seconds since boot, including time while the VM is suspended."""
+    # The event loop's monotonic clock stops while the VM is suspended. With it, a
+    # node that is paused for a minute, for example while its VM moves to another
+    # host, would not notice the pause.
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class SpreadSource(ConfigSource, LinkListener):
-    """Gets versions from a few watchers and from peers."""
+    """Gets new versions from peers; only a few nodes watch the platform."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         super().__init__()
@@ -77,7 +78,7 @@
 
     @property
     def verified(self) -> bool:
-        """Return whether the version in force may decide calls."""
+        """Return whether calls may be routed by the version in force."""
         return self.core.verified(now())
 
     @property
@@ -90,16 +91,16 @@
 
     @property
     def peer_server(self) -> PeerLinks:
-        """Return the server for other nodes' links."""
+        """Return the server that accepts links from other nodes."""
         return self.links
 
     async def start(self) -> None:
-        """Begin to follow the configuration."""
+        """Start to follow the configuration."""
         self.ticker.start()
         self.tick()
 
     async def stop(self) -> None:
-        """End every exchange."""
+        """Cancel the reads and close all connections."""
         self.stopped = True
         self.ticker.stop()
         tasks = list(self.reads.values())
@@ -110,29 +111,29 @@
         await self.links.close()
 
     def tick(self) -> None:
-        """Let the core do what is due."""
+        """Let the core act on timers that are due."""
         self.execute(self.core.tick(now()))
 
     def handle_event(self, event: Event) -> None:
-        """Hand an event to the core."""
+        """Pass an event to the core and execute the resulting actions."""
         if not self.stopped:
             self.execute(self.core.handle(event, now()))
 
     def execute(self, actions: list[Action]) -> None:
-        """Do what the core decided."""
+        """Execute the actions that the core returned."""
         for action in actions:
             self.action_handlers[type(action)](action)
 
     def link_up(self, number: int) -> None:
-        """Take a connection that stands."""
+        """Handle a link that was established."""
         self.handle_event(events.LinkUp(number))
 
     def link_down(self, number: int) -> None:
-        """Take the end of a connection."""
+        """Handle a link that was closed."""
         self.handle_event(events.LinkDown(number))
 
     def received(self, link: int, number: int, message: Message) -> None:
-        """Take a message."""
+        """Handle a message from a peer."""
         self.handle_event(events.Received(link, number, message))
 
     def read(self, action: events.ReadPlatform) -> None:
@@ -164,17 +165,17 @@
         return events.PlatformAnswered(read, document, answer.revision, answer.body)
 
     def cancel(self, action: events.CancelRead) -> None:
-        """Give up a read."""
+        """Cancel a read."""
         task = self.reads.pop(action.read, None)
         if task:
             task.cancel()
 
     def open(self, action: events.OpenLink) -> None:
-        """Connect to a node."""
+        """Open a link to a node."""
         self.links.connect(action.link, action.address, action.port)
 
     def close(self, action: events.CloseLink) -> None:
-        """Close a connection."""
+        """Close a link."""
         self.links.close_link(action.link)
 
     def send(self, action: events.Send) -> None:
@@ -182,14 +183,14 @@
         self.links.send(action.link, action.number, action.message)
 
     def installed(self, action: events.Installed) -> None:
-        """Note a version that came into force."""
+        """Log a version that came into force, and record the time."""
         self.holder.installed_at = time.time()
         log.info(
             "version-installed", version=action.snapshot.version, source=action.source
         )
 
     def refused(self, action: events.Refused) -> None:
-        """Note a version that failed validation."""
+        """Log a version that failed validation."""
         log.warning(
             "version-refused",
             version=action.version,
@@ -198,11 +199,11 @@
         )
 
     def vms_changed(self, action: events.VmsChanged) -> None:
-        """Note a newer VM list."""
+        """Log a newer list of VMs."""
         log.info("vms-changed", revision=action.revision, vms=len(action.vms))
 
     def status(self) -> SourceStatus:
-        """Return what operators want to see."""
+        """Return the state of this source for the status page."""
         core = self.core
         source = self.holder.sources.get(self.holder.version, "")
         return SourceStatus(
--- a/sequoiaspoke/node/upkeep.py
+++ b/sequoiaspoke/node/upkeep.py
@@ -1,4 +1,4 @@
-"""Keep the decisions under load in step with the configuration."""
+"""Apply changes of the configuration to admission, balancing and retries."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from sequoiaspoke.node.metrics import Metrics
     from sequoiaspoke.settings.schema import Settings
 
-# Leaving targets must be off new work within seconds; the list itself takes
-# most of those to arrive.
+# Leaving targets must stop getting new calls within seconds, and the list of VMs
+# takes most of that time to arrive.
 POLL_SECONDS = 0.5
 
 
 class ConfigPoller:
-    """Look at the version in force and the list of VMs from time to time."""
+    """Applies the version in force and the list of VMs at regular intervals."""
 
     def __init__(
         self, settings: Settings, config: ConfigSource, entry: Entry, home: Home
@@ -36,17 +36,17 @@
         self.applied: Snapshot | None = None
 
     def start(self) -> None:
-        """Look now, and again until stopped."""
+        """Apply changes now and at each interval until stopped."""
         self.apply_changes()
         self.timer = asyncio.get_running_loop().call_later(POLL_SECONDS, self.start)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop the timer."""
         if self.timer:
             self.timer.cancel()
 
     def apply_changes(self) -> None:
-        """Take over what changed."""
+        """Apply the list of VMs, and a new version if there is one."""
         self.entry.attempts.balancer.set_leaving(leaving_vms(self.config.vms))
         snapshot = self.config.current
         if snapshot is None or snapshot is self.applied:
@@ -62,12 +62,12 @@
 
 
 def leaving_vms(vms: VmList) -> frozenset[str]:
-    """Return the VMs that the platform's list shows as leaving."""
+    """Return the names of the VMs that are listed as leaving."""
     return frozenset(vm.name for vm in vms.vms if vm.state is VmState.LEAVING)
 
 
 def find_endpoint(snapshot: Snapshot, settings: Settings) -> Endpoint | None:
-    """Return what a version says of this VM's target."""
+    """Return the endpoint of this node's target in a snapshot."""
     service = snapshot.services.get(settings.upstream.service)
     endpoints = service.endpoints if service else ()
     for endpoint in endpoints:
@@ -79,7 +79,7 @@
 def publish_load_metrics(
     metrics: Metrics, entry: Entry, home: Home, grants: GrantHome
 ) -> None:
-    """Put the counters of the decisions under load on the metrics page."""
+    """Register the metrics of admission, balancing, grants and retries."""
     admission = home.gate.admission
     balancer, retries = entry.attempts.balancer, entry.attempts.retries
     counters = (
--- a/sequoiaspoke/node/watchall.py
+++ b/sequoiaspoke/node/watchall.py
@@ -1,7 +1,7 @@
-"""The baseline source: the node watches the platform itself.
+"""The baseline configuration source: every node watches the platform itself.
 
-It is the simplest way and the one every other is measured against: the reads
-of the platform grow with the number of nodes.
+This is the simplest strategy, with which the others are compared. The load on the
+platform grows with the number of nodes.
 """
 
 from __future__ import annotations
@@ -31,10 +31,12 @@
 
     from sequoiaspoke.settings.schema import Settings
 
-# A watch that ends with an error is asked again after a random part of this;
-# otherwise every node would ask a platform that returns in the same instant.
+# A failed watch is retried after a random delay up to this. Without it, all nodes
+# would query the platform at the same instant when it comes back.
 RETRY_SECONDS = 1.0
-HEAD_ESTIMATE_BYTES = 120  # roughly what a request and an answer add to a body
+HEAD_ESTIMATE_BYTES = (
+    120  # rough size of a request without its path, or of an answer's head
+)
 HTTP_PORT = 80
 OK = 200
 NO_CHANGE = 204
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True)
 class PlatformResponse:
-    """What the platform answered."""
+    """A response of the platform."""
 
     status: int
     headers: HTTPHeaders
@@ -50,7 +52,7 @@
 
 
 class PlatformWatch(ConfigSource):
-    """Watch the head and the VM list, and read the parts that are missing."""
+    """Watches the head and the VM list, and reads the missing parts."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         super().__init__()
@@ -72,7 +74,7 @@
         return self.newest_vms
 
     async def start(self) -> None:
-        """Begin to watch."""
+        """Start to watch the head and the VM list."""
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.watch(HEAD_DOCUMENT)),
@@ -80,14 +82,14 @@
         ]
 
     async def stop(self) -> None:
-        """End the watches."""
+        """Stop the watches and close the connections."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.pool.close()
 
     def status(self) -> SourceStatus:
-        """Return what operators want to see."""
+        """Return the state of this source for the status page."""
         return SourceStatus(
             "watch-all",
             "platform",
@@ -97,7 +99,7 @@
         )
 
     async def watch(self, name: str) -> None:
-        """Follow one document for good."""
+        """Watch one document until cancelled."""
         revision = 0
         while True:
             try:
@@ -113,7 +115,7 @@
                 await asyncio.sleep(self.rng.uniform(0, RETRY_SECONDS))
 
     async def apply(self, name: str, body: bytes) -> None:
-        """Take a document that has changed."""
+        """Apply a changed document; for a head, read the missing parts."""
         if name == VMS_DOCUMENT:
             self.newest_vms = codec.decode_vms(body)
             return
@@ -126,14 +128,14 @@
             self.holder.offer_part(digest, part.body, time.time())
 
     async def read(self, path: str, timeout: float) -> PlatformResponse:
-        """Read from the platform and count the cost.
+        """Read from the platform and count the read and its bytes.
 
         Raises
         ------
         CallError
-            The platform cannot be reached or breaks off.
+            The platform cannot be reached or the connection breaks.
         PlatformError
-            It answers with a failure.
+            The platform answers with an error status, or the body stalls.
         """
         self.reads += 1
         self.bytes_sent += HEAD_ESTIMATE_BYTES + len(path)
--- a/sequoiaspoke/settings/__init__.py
+++ b/sequoiaspoke/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process, read from INI."""
+"""Settings of a node, read from an INI file."""
--- a/sequoiaspoke/settings/load.py
+++ b/sequoiaspoke/settings/load.py
@@ -1,4 +1,4 @@
-"""Read a settings file and report everything wrong with it at once."""
+"""Read a settings file and report all its problems at once."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     Raises
     ------
     SettingsError
-        The file cannot be read, or some of its settings cannot be used.
+        The file cannot be read, or some of its settings are invalid.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -31,7 +31,7 @@
 
 
 def parse_settings(text: str, file: str = "settings") -> Settings:
-    """Check settings in full; see `load_settings`."""
+    """Parse and validate the text of a settings file; see `load_settings`."""
     ini = parse_ini(text, file)
     problems = list(ini.problems)
     known = sections()
--- a/sequoiaspoke/settings/option.py
+++ b/sequoiaspoke/settings/option.py
@@ -1,4 +1,4 @@
-"""One setting: its default, its bounds and what it is for."""
+"""Declare a setting with its default, bounds and description."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class OptionRule:
-    """What values a setting allows."""
+    """The description and the allowed values of a setting."""
 
     doc: str
     minimum: float | None = None
@@ -24,11 +24,11 @@
     ip: bool = False
 
     def allowed(self, kind: type) -> str:
-        """Describe the allowed values."""
+        """Describe the allowed values for messages and the reference page."""
         if self.choices:
             return "one of " + ", ".join(self.choices)
         if self.ip:
-            return "an IP number"
+            return "an IP address"
         if kind is bool:
             return "yes or no"
         if kind is str:
@@ -44,30 +44,30 @@
     maximum: float | None = None,
     **rules: Any,
 ) -> Any:
-    """Declare a setting as a field of a frozen data class."""
+    """Declare a setting as a field of a frozen dataclass."""
     rule = OptionRule(doc, minimum, maximum, **rules)
     return field(default=default, metadata={"rule": rule})
 
 
 def rule_of(declared: Field[Any]) -> OptionRule:
-    """Return what a declared setting allows."""
+    """Return the rule of a declared setting."""
     return declared.metadata["rule"]
 
 
 def kind_of(declared: Field[Any]) -> type:
-    """Return the type of a declared setting, read off its default."""
+    """Return the type of a declared setting, which is that of its default."""
     if declared.default is MISSING:
         raise TypeError(f"setting {declared.name} has no default")
     return type(declared.default)
 
 
 def parse_value(declared: Field[Any], text: str) -> Any:
-    """Convert the text of a setting.
+    """Convert and validate the text of a setting.
 
     Raises
     ------
     ValueError
-        The text is not among the allowed values.
+        The value is not allowed.
     """
     rule, kind = rule_of(declared), kind_of(declared)
     value = BOOLEANS[text.lower()] if kind is bool else kind(text)
--- a/sequoiaspoke/tests/test_onethread.py
+++ b/sequoiaspoke/tests/test_onethread.py
@@ -1,4 +1,4 @@
-"""Tests that a node stays on the one thread of its loop."""
+"""Tests that a node runs on the single thread of its event loop."""
 
 import threading
 
@@ -6,11 +6,11 @@
 
 
 class OneThreadTests(LoopbackTestCase):
-    """A library starts threads beside the loop.
+    """A library starts threads beside the event loop.
 
-    They cost memory on every VM and, since nothing in the node is written for
-    more than one, a counter or a queue that two of them touch could go wrong
-    once in a thousand hours; operators would see calls in flight that never end.
+    Threads take memory on every VM. No code of the node is thread-safe: two threads
+    that change a counter or a queue could corrupt it on rare occasions, and operators
+    would see calls in flight that never end.
     """
 
     def test_calls_and_versions_start_no_thread(self):
--- a/sequoiaspoke/tests/test_processes.py
+++ b/sequoiaspoke/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of calls and versions through real processes and real signals."""
+"""Tests of calls and versions with real processes and signals."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,15 @@
 from sequoiaspoke.measure.bench import Bench
 from sequoiaspoke.measure.plan import CALL_PORT, FleetPlan
 
-TIMEOUT = 60.0  # seconds; a busy machine is slow, and no verdict hangs on it
-HOLD_HEADERS = {"Standin-Hold": "yes"}  # the call runs until it is released
+TIMEOUT = 60.0  # seconds; generous for a busy machine, no assertion depends on it
+HOLD_HEADERS = {
+    "Standin-Hold": "yes"
+}  # the upstream holds the call until it is released
 
 
 @dataclass(frozen=True)
 class CallPlan(FleetPlan):
-    """A fleet with one service and a path whose calls may not be repeated."""
+    """A fleet with one service and a path whose calls are not idempotent."""
 
     services: int = 1
     endpoints: int = 1
@@ -65,7 +67,7 @@
             client.close()
 
     async def wait_until_running(self, bench, vms):
-        """Wait until an upstream runs a call, and return its VM and the other."""
+        """Wait until an upstream runs a call; return its VM and another one."""
         while True:
             for vm in vms:
                 if (await self.runs(bench, vm))["runs_total"]:
@@ -73,8 +75,8 @@
             await asyncio.sleep(0.02)
 
     async def wait_until_draining(self, vm):
-        """Wait until a node takes no new calls."""
-        with contextlib.suppress(OSError):  # the listener is closed already
+        """Wait until a node refuses new calls."""
+        with contextlib.suppress(OSError):  # the listener is already closed
             while (await self.call(vm, "/service-0/2")).code == 200:
                 await asyncio.sleep(0.02)
 
@@ -88,10 +90,10 @@
 
 class PlannedStopTests(ProcessTestCase):
     def test_a_stop_of_both_nodes_cuts_no_call_in_flight(self):
-        """Operators replace a VM, so its node gets SIGTERM.
+        """Both nodes get SIGTERM while a call passes through them.
 
-        A call is on its way through two nodes at that moment. Without a drain
-        the caller would see a broken connection for a call that ran.
+        Without draining, the caller would see a broken connection for a call that
+        ran. Nodes get SIGTERM whenever operators replace their VMs.
         """
 
         async def test(bench, vms):
@@ -116,7 +118,7 @@
 
 class NodeCrashTests(ProcessTestCase):
     async def kill_home(self, bench, vms, path):
-        """Kill the node at the target that runs a call; return the answer."""
+        """Kill the home that runs a call; return the answer, its VM and the other."""
         *homes, entry = vms
         call = asyncio.ensure_future(self.call(entry, path, HOLD_HEADERS))
         home, other = await self.wait_until_running(bench, homes)
@@ -125,10 +127,10 @@
         return await call, home, other
 
     def test_an_idempotent_call_of_a_killed_node_is_answered_by_another(self):
-        """A VM's process dies while it holds a call for its upstream.
+        """A home is killed while its upstream runs an idempotent call.
 
-        The entry sees the connection break. A family asking for the ceremony
-        page must still get it, from another target.
+        The entry sees the connection break, and must retry the call on another
+        target.
         """
 
         async def test(bench, vms):
@@ -139,10 +141,10 @@
         self.run_with(CallPlan(3, 1, 2), test)
 
     def test_a_call_that_may_not_be_retried_ends_with_an_unknown_outcome(self):
-        """The same death meets a booking that was already handed over.
+        """A home is killed while its upstream runs a call that is not idempotent.
 
-        Trying it elsewhere could book twice, and "not run" would be a guess,
-        so the foreman is told that nobody knows.
+        A retry could run the call twice, and nobody knows whether it ran, so the
+        caller must not be told "not run" but that the outcome is unknown.
         """
 
         async def test(bench, vms):
@@ -159,10 +161,10 @@
 
 class PausedNodeTests(ProcessTestCase):
     def test_a_resumed_node_ignores_an_older_head(self):
-        """A VM is paused, and goes on with its old view and old connections.
+        """A VM is paused and resumes with its old state and connections.
 
-        While it slept, the platform fell back to an older head. A node that
-        took it would undo the operators' change for its callers.
+        During the pause, the platform fell back to an older head. A node that
+        installed it would revert the operators' change for its callers.
         """
 
         async def test(bench, vms):
@@ -184,9 +186,9 @@
         self.run_with(FleetPlan(1, 1, 1), test)
 
     def test_a_resumed_node_that_missed_versions_installs_the_newest(self):
-        """A paused node misses several versions and then wakes up.
+        """A node misses several versions while it is paused.
 
-        It must end on the newest one by itself, while nobody tells it to.
+        After it resumes, it must install the newest one without any new change.
         """
 
         async def test(bench, vms):
@@ -207,10 +209,10 @@
 
 class FreshNodeTests(ProcessTestCase):
     def test_a_node_that_starts_with_a_stale_platform_installs_the_newest(self):
-        """A VM is replaced, so its node starts with nothing.
+        """A VM is replaced, so its node starts without any configuration.
 
-        The platform answers with an older moment for a long time. A node that
-        served from that would bring old rules back for its callers.
+        The platform answers with an older state for a long time. A node that served
+        calls by that state would apply outdated rules.
         """
 
         async def test(bench, vms):
@@ -224,7 +226,7 @@
             status = await self.status(bench, vms[0])
             self.assertEqual(newest.version, status.version)
 
-        # Peers may be slow to answer on a busy machine; the wait is generous so
-        # that the verdict is about the decision and not about the machine.
+        # Peers may be slow to answer on a busy machine. The wait is long, so that the
+        # test does not depend on the machine's speed.
         settings = f"[spread]\ncatch_up_wait = {TIMEOUT}\n"
         self.run_with(FleetPlan(4, 1, 1), test, settings)
--- a/sequoiaspoke/wire/__init__.py
+++ b/sequoiaspoke/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between nodes."""
+"""The wire protocol between nodes."""
--- a/sequoiaspoke/wire/codec.py
+++ b/sequoiaspoke/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages between nodes to and from thrift's compact protocol."""
+"""Encode and decode messages between nodes in thrift's compact protocol."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Method:
-    """How one call of the service maps to message classes."""
+    """A method of the thrift service and its message classes."""
 
     name: str
     question: type
@@ -44,7 +44,7 @@
 BY_NAME = {method.name: method for method in METHODS}
 BY_QUESTION = {method.question: method for method in METHODS}
 BY_ANSWER = {method.answer: method for method in METHODS if method.answer}
-# The heartbeat is its status alone on the wire, without a struct round it.
+# On the wire a heartbeat is only its status, without an enclosing struct.
 STATUS_ONLY = {messages.Beat: messages.Status, messages.BeatAnswer: messages.Status}
 STRUCTS = {
     messages.Status: ttypes.Status,
@@ -75,7 +75,7 @@
         for name in ("targets", "members", "holder")
     },
 }
-# Fields that may be left out where they hold their default; see the service.
+# Defaults of fields; one that holds its default may be left out, see the service.
 DEFAULTS = {
     cls: {
         field.name: field.default_factory()
@@ -115,14 +115,14 @@
     Raises
     ------
     MessageError
-        The bytes are no message of the service.
+        The bytes are not a valid message of the service.
     """
     try:
         return _decode(payload)
     except MessageError:
         raise
-    # The library meets hostile bytes with whatever error comes first: of its
-    # own, of struct, of text decoding. All mean that the link talks nonsense.
+    # For malformed bytes the thrift library raises errors of many types: its own, of
+    # struct, or of text decoding. All mean that the payload is invalid.
     except Exception as error:
         raise MessageError(f"malformed: {error!r}") from error
 
@@ -154,7 +154,7 @@
 
 
 def to_struct(message: Any) -> Any:
-    """Convert a message to its generated struct, leaving defaults out."""
+    """Convert a message to its generated struct, without fields at their default."""
     cls = type(message)
     values = {}
     for name, default in DEFAULTS[cls].items():
@@ -179,12 +179,12 @@
 
 
 def from_struct(cls: type, struct: Any) -> Any:
-    """Convert a generated struct to a message.
+    """Convert a generated struct to a message of the given class.
 
     Raises
     ------
     MessageError
-        A field that has no default is missing.
+        A field without a default is missing.
     """
     values = {}
     for name, default in DEFAULTS[cls].items():
