--- a/sequoiaspoke/node/watchall.py
+++ b/sequoiaspoke/node/watchall.py
@@ -1,7 +1,7 @@
-"""The baseline source: the node watches the platform itself.
+"""The baseline configuration source: every node watches the platform itself.
 
-It is the simplest way and the one every other is measured against: the reads
-of the platform grow with the number of nodes.
+This is the simplest strategy, with which the others are compared. The load on the
+platform grows with the number of nodes.
 """
 
 from __future__ import annotations
@@ -31,18 +31,20 @@
 
     from sequoiaspoke.settings.schema import Settings
 
-# A watch that ends with an error is asked again after a random part of this;
-# otherwise every node would ask a platform that returns in the same instant.
+# A failed watch is retried after a random delay up to this. Without it, all nodes
+# would query the platform at the same instant when it comes back.
 RETRY_SECONDS = 1.0
-HEAD_BYTES = 120  # roughly what a request and an answer add to a body
+HEAD_ESTIMATE_BYTES = (
+    120  # rough size of a request without its path, or of an answer's head
+)
 HTTP_PORT = 80
 OK = 200
 NO_CHANGE = 204
 
 
 @dataclass(frozen=True)
-class Reading:
-    """What the platform answered."""
+class PlatformResponse:
+    """A response of the platform."""
 
     status: int
     headers: HTTPHeaders
@@ -50,15 +52,15 @@
 
 
 class PlatformWatch(ConfigSource):
-    """Watch the head and the VM list, and read the parts that are missing."""
+    """Watches the head and the VM list, and reads the missing parts."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         super().__init__()
         self.settings = settings.platform
         self.rng = rng
-        place = urlsplit(settings.platform.url)
-        self.host = place.netloc
-        address = Address(place.hostname or "", place.port or HTTP_PORT)
+        url = urlsplit(settings.platform.url)
+        self.host = url.netloc
+        address = Address(url.hostname or "", url.port or HTTP_PORT)
         self.pool = Pool(address, settings.limits)
         self.tasks: list[asyncio.Task[None]] = []
         self.newest_vms = VmList()
@@ -72,7 +74,7 @@
         return self.newest_vms
 
     async def start(self) -> None:
-        """Begin to watch."""
+        """Start to watch the head and the VM list."""
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.watch(HEAD_DOCUMENT)),
@@ -80,14 +82,14 @@
         ]
 
     async def stop(self) -> None:
-        """End the watches."""
+        """Stop the watches and close the connections."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.pool.close()
 
     def status(self) -> SourceStatus:
-        """Return what operators want to see."""
+        """Return the state of this source for the status page."""
         return SourceStatus(
             "watch-all",
             "platform",
@@ -97,23 +99,23 @@
         )
 
     async def watch(self, name: str) -> None:
-        """Follow one document for good."""
+        """Watch one document until cancelled."""
         revision = 0
         while True:
             try:
                 path = f"watch/{name}?after={revision}&wait={self.settings.wait:g}"
                 limit = self.settings.wait + self.settings.timeout
-                reading = await self.read(path, limit)
-                if reading.status == NO_CHANGE:
+                response = await self.read(path, limit)
+                if response.status == NO_CHANGE:
                     continue
-                await self.take(name, reading.body)
-                revision = int(reading.headers["Revision"])
+                await self.apply(name, response.body)
+                revision = int(response.headers["Revision"])
             except (CallError, PlatformError, DocumentError, ValueError) as error:
                 log.warning("platform-read-failed", document=name, reason=str(error))
                 await asyncio.sleep(self.rng.uniform(0, RETRY_SECONDS))
 
-    async def take(self, name: str, body: bytes) -> None:
-        """Take a document that has changed."""
+    async def apply(self, name: str, body: bytes) -> None:
+        """Apply a changed document; for a head, read the missing parts."""
         if name == VMS_DOCUMENT:
             self.newest_vms = codec.decode_vms(body)
             return
@@ -125,18 +127,18 @@
             )
             self.holder.offer_part(digest, part.body, time.time())
 
-    async def read(self, path: str, timeout: float) -> Reading:
-        """Read from the platform and count the cost.
+    async def read(self, path: str, timeout: float) -> PlatformResponse:
+        """Read from the platform and count the read and its bytes.
 
         Raises
         ------
         CallError
-            The platform cannot be reached or breaks off.
+            The platform cannot be reached or the connection breaks.
         PlatformError
-            It answers with a failure.
+            The platform answers with an error status, or the body stalls.
         """
         self.reads += 1
-        self.bytes_sent += HEAD_BYTES + len(path)
+        self.bytes_sent += HEAD_ESTIMATE_BYTES + len(path)
         start_line = RequestStartLine("GET", f"/v1/{path}", "HTTP/1.1")
         deadline = asyncio.get_running_loop().time() + timeout
         headers = HTTPHeaders({"Host": self.host})
@@ -151,7 +153,7 @@
         finally:
             answer.close()
         body = b"".join(chunks)
-        self.bytes_received += HEAD_BYTES + len(body)
+        self.bytes_received += HEAD_ESTIMATE_BYTES + len(body)
         if answer.status not in (OK, NO_CHANGE):
             raise PlatformError(f"{path}: status {answer.status}")
-        return Reading(answer.status, answer.headers, body)
+        return PlatformResponse(answer.status, answer.headers, body)
