--- a/sequoiaspoke/node/app.py
+++ b/sequoiaspoke/node/app.py
@@ -130,8 +130,8 @@
             async with asyncio.timeout(self.settings.node.grace):
                 await self.keyed.linger()
                 self.mesh.server.stop()
-                await self.callers.drained()
-                await self.mesh.drained()
+                await self.callers.wait_idle()
+                await self.mesh.wait_idle()
         except TimeoutError:
             log.warning("grace-over", in_flight=self.in_flight())
         self.mesh.server.stop()
--- a/sequoiaspoke/node/attempts.py
+++ b/sequoiaspoke/node/attempts.py
@@ -74,15 +74,15 @@
         number = 0
         while True:
             number += 1
-            spare = policy.idempotent and number < policy.attempts
-            context = RouteContext(call.key, spare and replayable(call))
+            may_retry = policy.idempotent and number < policy.attempts
+            context = RouteContext(call.key, may_retry and replayable(call))
             choice = self.balancer.choose(
                 service.name, service.endpoints, context, tried, loop.time()
             )
             target = choice.endpoint.target
             tried |= {target}
-            sent_as = progress.for_attempt(number).attempt
-            attempt = replace(call, target=target, attempt=sent_as)
+            attempt_number = progress.for_attempt(number).attempt
+            attempt = replace(call, target=target, attempt=attempt_number)
             try:
                 return await self.attempt(choice.endpoint, attempt, policy.idempotent)
             except CallError as error:
@@ -139,10 +139,10 @@
             else:
                 answer = await self.send(endpoint, call)
         except BaseException as error:
-            self.ended(call.target, outcome_of(error), began)
+            self.record_failure(call.target, outcome_of(error), began)
             raise
         latency = loop.time() - began
-        answer.on_close(lambda: self.answer_ended(call.target, answer, latency))
+        answer.on_close(lambda: self.record_answer_end(call.target, answer, latency))
         return answer
 
     async def run_here(self, call: HomeCall) -> Answer:
@@ -153,7 +153,7 @@
             now = asyncio.get_running_loop().time()
             self.balancer.report(call.target, self.home.report(), now)
 
-    def answer_ended(self, target: str, answer: Answer, latency: float) -> None:
+    def record_answer_end(self, target: str, answer: Answer, latency: float) -> None:
         """Learn from an answer that is over; a broken one is a failure."""
         outcome = Outcome.ANSWERED if answer.complete else Outcome.CANCELLED
         if answer.error is not None:
@@ -161,7 +161,7 @@
         now = asyncio.get_running_loop().time()
         self.balancer.finished(target, outcome, latency, now)
 
-    def ended(self, target: str, outcome: Outcome, began: float) -> None:
+    def record_failure(self, target: str, outcome: Outcome, began: float) -> None:
         """Learn from an attempt that brought no answer."""
         now = asyncio.get_running_loop().time()
         self.balancer.finished(target, outcome, now - began, now)
@@ -181,7 +181,7 @@
             self.balancer.report(call.target, report, now)
         ran = answer.headers.get(names.RAN, Ran.RAN.value)
         if ran == Ran.RAN.value and names.REASON not in answer.headers:
-            answer.repeat = names.REPEAT in answer.headers
+            answer.replayed = names.REPEAT in answer.headers
             return answer
         error = reported_error(
             answer.headers.get(names.REASON, "remote"),
--- a/sequoiaspoke/node/client.py
+++ b/sequoiaspoke/node/client.py
@@ -62,7 +62,7 @@
         self.body = BodyPipe()
         self.complete = False
         self.error: CallError | None = None
-        self.repeat = False
+        self.replayed = False
         self.reusable = False
         self.head: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.close_callbacks: list[Callable[[], None]] = []
@@ -186,7 +186,7 @@
             return
         # A close callback makes the loop watch the idle connection, so that one
         # the other end has closed is found out before a call is sent on it.
-        stream.set_close_callback(_nothing)
+        stream.set_close_callback(_ignore_close)
         self.idle.append((stream, time.monotonic()))
 
     def close(self) -> None:
@@ -293,11 +293,11 @@
 
     def close(self) -> None:
         """Keep the connection if the exchange is whole, else close it."""
-        whole = self.answer.complete and self.sent and self.answer.reusable
-        if whole and self.tasks[-1].done():
+        reusable = self.answer.complete and self.sent and self.answer.reusable
+        if reusable and self.tasks[-1].done():
             self.pool.release(self.stream)
             return
-        if whole:
+        if reusable:
             self.tasks[-1].add_done_callback(lambda _: self.pool.release(self.stream))
             return
         self.answer.body.abandon()
@@ -306,5 +306,5 @@
             task.cancel()
 
 
-def _nothing() -> None:
+def _ignore_close() -> None:
     return None
--- a/sequoiaspoke/node/directcalls.py
+++ b/sequoiaspoke/node/directcalls.py
@@ -62,7 +62,7 @@
         """Run a call at the upstream itself."""
         target = call.target
         try:
-            answer = await self.home.hand_over(call, self.upstreams[target])
+            answer = await self.home.send_to_upstream(call, self.upstreams[target])
         except BaseException as error:
             self.send(self.core.done(target, grant))
             if isinstance(error, UpstreamShedError):
--- a/sequoiaspoke/node/entry.py
+++ b/sequoiaspoke/node/entry.py
@@ -81,7 +81,7 @@
         """Answer a caller by the rules in force."""
         started = time.perf_counter()
         try:
-            await self.decide(call)
+            await self.dispatch(call)
         except CallError as error:
             told = told_of_key(call.headers, error)
             self.counters.failed(told)
@@ -89,7 +89,7 @@
         finally:
             self.counters.observe(time.perf_counter() - started)
 
-    async def decide(self, call: IncomingCall) -> None:
+    async def dispatch(self, call: IncomingCall) -> None:
         """Find the rule that decides and do what it says."""
         snapshot = self.config.current
         if snapshot is None:
@@ -99,7 +99,7 @@
         if not self.config.verified:
             raise NotReadyError("version to be verified after a pause", 1.0)
         if call.uri.startswith(names.KEYS_PATH):
-            await self.issue(call, snapshot)
+            await self.issue_keys(call, snapshot)
             return
         request = read_request(call, self.zone_of(call))
         rule = snapshot.matcher.decide(request).rule
@@ -113,23 +113,23 @@
             redirect(call, rule.then)
             return
         service = self.pick_service(snapshot, rule, call)
-        answer = await self.begin(call, rule, rule.then, service)
+        answer = await self.run_call(call, rule, rule.then, service)
         await self.relay(call, service.name, answer)
 
-    async def issue(self, call: IncomingCall, snapshot: Snapshot) -> None:
+    async def issue_keys(self, call: IncomingCall, snapshot: Snapshot) -> None:
         """Answer with keys of a target that is up, of this zone if possible."""
         name = call.uri.removeprefix(names.KEYS_PATH)
         service = snapshot.services.get(name)
         if service is None:
             raise UnknownServiceError(name)
-        answer = await self.begin(call, KEYS_RULE, KEYS_ROUTE, service)
+        answer = await self.run_call(call, KEYS_RULE, KEYS_ROUTE, service)
         await self.relay(call, name, answer)
 
     async def relay(self, call: IncomingCall, service: str, answer: Answer) -> None:
         """Pass an answer on to the caller."""
         self.counters.calls[service] += 1
         try:
-            headers = names.of_answer(answer)
+            headers = names.answer_headers(answer)
             await call.writer.relay(answer, headers, self.settings.limits.idle)
         finally:
             answer.close()
@@ -157,8 +157,8 @@
         key = call.headers.get(rule.then.sticky_header, "")
         if is_keyed(call, rule.policy):
             text = call.headers[names.IDEMPOTENCY_KEY]
-            wanted = parse_key(text, self.settings.idempotency)
-            name = pick_by_key(wanted.text, rule.then.split)
+            idempotency_key = parse_key(text, self.settings.idempotency)
+            name = pick_by_key(idempotency_key.text, rule.then.split)
         else:
             name = self.splitter.choose(rule.name, rule.then.split, key)
         service = snapshot.services.get(name)
@@ -166,17 +166,19 @@
             raise UnknownServiceError(name)
         return service
 
-    async def begin(
+    async def run_call(
         self, call: IncomingCall, rule: Rule, route: RouteTo, service: Service
     ) -> Answer:
         """Set the call's deadline and depth, and try targets."""
         policy = rule.policy
-        carried = names.DEADLINE in call.headers
+        has_deadline = names.DEADLINE in call.headers
         progress = enter(
             self.settings.routing,
             policy.timeout,
             asyncio.get_running_loop().time(),
-            names.whole_number(call.headers, names.DEADLINE, 0) if carried else None,
+            names.whole_number(call.headers, names.DEADLINE, 0)
+            if has_deadline
+            else None,
             names.whole_number(call.headers, names.ATTEMPT, 1),
             names.whole_number(call.headers, names.DEPTH, 0),
         )
@@ -223,4 +225,4 @@
     """Answer with the redirection of a rule."""
     headers = HTTPHeaders({"Location": action.location})
     headers[names.RAN] = Ran.NOT_RUN.value
-    call.writer.whole(action.status, headers, b"")
+    call.writer.write_complete(action.status, headers, b"")
--- a/sequoiaspoke/node/gate.py
+++ b/sequoiaspoke/node/gate.py
@@ -18,7 +18,7 @@
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.core.rules.model import Priority
 
-TICK = 0.02  # seconds between looks at a queue; a refusal comes that late
+TICK_INTERVAL = 0.02  # seconds between looks at a queue; a refusal comes that late
 
 
 class Gate:
@@ -44,10 +44,10 @@
         loop = asyncio.get_running_loop()
         number, now = next(self.numbers), loop.time()
         call = Arrival(number, caller, deadline, key, kind, priority, now)
-        turn = self.waiting[number] = loop.create_future()
-        self.act(self.admission.arrive(call, now))
+        admitted = self.waiting[number] = loop.create_future()
+        self.apply_verdicts(self.admission.arrive(call, now))
         try:
-            await turn
+            await admitted
         except asyncio.CancelledError:
             # The caller is gone. It may have been given a slot in the same turn
             # of the loop; kept, that slot would be lost for good.
@@ -60,28 +60,28 @@
     def leave(self, number: int, outcome: Outcome, latency: float) -> None:
         """Give a slot back; see `Admission.release`."""
         now = asyncio.get_running_loop().time()
-        self.act(self.admission.release(number, outcome, latency, now))
+        self.apply_verdicts(self.admission.release(number, outcome, latency, now))
 
-    def act(self, verdicts: list[Verdict]) -> None:
+    def apply_verdicts(self, verdicts: list[Verdict]) -> None:
         """Tell the calls what was decided."""
         for verdict in verdicts:
             if isinstance(verdict, Started):
-                turn = self.waiting.pop(verdict.call, None)
-                if turn and not turn.done():
-                    turn.set_result(None)
+                admitted = self.waiting.pop(verdict.call, None)
+                if admitted and not admitted.done():
+                    admitted.set_result(None)
             elif isinstance(verdict, Refused):
-                turn = self.waiting.pop(verdict.call, None)
-                if turn and not turn.done():
-                    turn.set_exception(verdict.error)
+                admitted = self.waiting.pop(verdict.call, None)
+                if admitted and not admitted.done():
+                    admitted.set_exception(verdict.error)
         if not len(self.admission.queue):
             return
         if self.on_wait:
             self.on_wait()
         if not self.ticking:
             self.ticking = True
-            asyncio.get_running_loop().call_later(TICK, self.tick)
+            asyncio.get_running_loop().call_later(TICK_INTERVAL, self.tick)
 
     def tick(self) -> None:
         """Look at the queue again."""
         self.ticking = False
-        self.act(self.admission.tick(asyncio.get_running_loop().time()))
+        self.apply_verdicts(self.admission.tick(asyncio.get_running_loop().time()))
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -50,7 +50,7 @@
         else:
             self.core.returned(message)
         self.take_over()
-        call.writer.whole(200, headers, b"")
+        call.writer.write_complete(200, headers, b"")
 
     def ask(self, message: Ask) -> str:
         """Return the answer to a question as a header's value."""
@@ -88,7 +88,7 @@
         """Let admission count what is lent, and use what came back."""
         gate = self.home.gate
         gate.admission.reserved = self.core.reserved
-        gate.act(gate.admission.tick(asyncio.get_running_loop().time()))
+        gate.apply_verdicts(gate.admission.tick(asyncio.get_running_loop().time()))
 
     async def returned(self, seconds: float) -> None:
         """Wait until no entry runs a call at the upstream under a grant.
--- a/sequoiaspoke/node/headers.py
+++ b/sequoiaspoke/node/headers.py
@@ -54,20 +54,26 @@
 
 def end_to_end(headers: HTTPHeaders) -> HTTPHeaders:
     """Return the headers that travel on; the mesh's own do not."""
-    named = [name.strip().lower() for name in headers.get("Connection", "").split(",")]
+    connection_options = [
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    ]
     kept = HTTPHeaders()
     for name, value in headers.get_all():
-        if name in HOP_BY_HOP or name.startswith(PREFIX) or name.lower() in named:
+        if (
+            name in HOP_BY_HOP
+            or name.startswith(PREFIX)
+            or name.lower() in connection_options
+        ):
             continue
         kept.add(name, value)
     return kept
 
 
-def of_answer(answer: Answer) -> HTTPHeaders:
+def answer_headers(answer: Answer) -> HTTPHeaders:
     """Return the headers with which an upstream's answer travels on."""
     headers = end_to_end(answer.headers)
     headers[RAN] = Ran.RAN.value
-    if answer.repeat:
+    if answer.replayed:
         headers[REPEAT] = YES
     return headers
 
--- a/sequoiaspoke/node/home.py
+++ b/sequoiaspoke/node/home.py
@@ -40,7 +40,7 @@
     from sequoiaspoke.settings.schema import Settings
 
 FIRST_SERVER_ERROR = 500
-FIRST_SLOTS = 10  # until a version tells how many the target has
+INITIAL_SLOTS = 10  # until a version tells how many the target has
 PRIORITIES = {priority.value: priority for priority in Priority}
 
 
@@ -56,7 +56,7 @@
         Whether the call has an idempotency key and may run once only.
     before_send : callable or None
         Raises a `CallError` if the call may not be handed over after all.
-    patience : float
+    min_wait : float
         Seconds to wait for the upstream at least, also past the deadline.
     """
 
@@ -75,7 +75,7 @@
     key: str = ""
     keyed: bool = False
     before_send: Callable[[], None] | None = None
-    patience: float = 0.0
+    min_wait: float = 0.0
 
 
 class Home:
@@ -86,7 +86,7 @@
     ) -> None:
         self.settings = settings
         self.counters = counters
-        self.gate = Gate(settings.admission, FIRST_SLOTS, rng)
+        self.gate = Gate(settings.admission, INITIAL_SLOTS, rng)
         upstream = settings.upstream
         self.pool = Pool(Address(upstream.address, upstream.port), settings.limits)
         self.keyed: KeyedHome | None = None
@@ -112,9 +112,9 @@
             return self.keyed.issue(call)
         if self.keyed and call.keyed:
             return await self.keyed.run(call)
-        return await self.run_now(call)
+        return await self.admit_and_run(call)
 
-    async def run_now(self, call: HomeCall) -> Answer:
+    async def admit_and_run(self, call: HomeCall) -> Answer:
         """Hand a call to the upstream and return its answer.
 
         Raises
@@ -132,20 +132,22 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            answer = await self.hand_over(call)
+            answer = await self.send_to_upstream(call)
         except BaseException as error:
             self.gate.leave(number, outcome_of(error), loop.time() - began)
             raise
         latency = loop.time() - began
-        answer.on_close(lambda: self.answered(number, answer, latency))
+        answer.on_close(lambda: self.release_slot(number, answer, latency))
         return answer
 
-    def answered(self, number: int, answer: Answer, latency: float) -> None:
+    def release_slot(self, number: int, answer: Answer, latency: float) -> None:
         """Free the slot of a call whose answer is over."""
         outcome = Outcome.ANSWERED if answer.complete else Outcome.CANCELLED
         self.gate.leave(number, outcome, latency)
 
-    async def hand_over(self, call: HomeCall, pool: Pool | None = None) -> Answer:
+    async def send_to_upstream(
+        self, call: HomeCall, pool: Pool | None = None
+    ) -> Answer:
         """Send the call to the upstream, or to another one under a grant."""
         loop = asyncio.get_running_loop()
         if call.before_send:
@@ -156,22 +158,22 @@
         headers[names.DEPTH] = str(call.depth)
         headers[names.ATTEMPT] = str(call.attempt)
         start_line = RequestStartLine(call.method, call.uri, "HTTP/1.1")
-        deadline = max(call.deadline, loop.time() + call.patience)
+        deadline = max(call.deadline, loop.time() + call.min_wait)
         answer = await (pool or self.pool).call(
             start_line, headers, call.body, deadline
         )
-        told = answer.headers.get(names.RAN, Ran.RAN.value)
-        if told == Ran.RAN.value or answer.status < FIRST_SERVER_ERROR:
+        ran = answer.headers.get(names.RAN, Ran.RAN.value)
+        if ran == Ran.RAN.value or answer.status < FIRST_SERVER_ERROR:
             return answer
         retry_after = names.whole_number(answer.headers, "Retry-After", 1)
         retried = names.RETRIED in answer.headers
-        drains = answer.headers.get(names.REASON) == DrainingError.code
+        draining = answer.headers.get(names.REASON) == DrainingError.code
         # Under a grant it is another VM's upstream that drains, not this one's.
-        if drains and pool is None:
+        if draining and pool is None:
             self.gate.admission.health.upstream_draining(loop.time())
         await discard(answer)
         error: CallError = UpstreamUnsureError(f"{call.target} gave the call up")
-        if told == Ran.NOT_RUN.value:
+        if ran == Ran.NOT_RUN.value:
             error = UpstreamShedError(f"{call.target} shed the call", retry_after)
         error.retried = retried
         raise error
@@ -199,7 +201,7 @@
                 self.home.counters.refused[error.code] += 1
             raise
         try:
-            headers = names.of_answer(answer)
+            headers = names.answer_headers(answer)
             headers[names.LOAD] = write_load(self.home.report())
             await call.writer.relay(answer, headers, self.settings.limits.idle)
         finally:
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -192,7 +192,7 @@
             call,
             body=WholeBody(body) if call.body else None,
             before_send=lambda: self.check(key),
-            patience=self.settings.patience,
+            min_wait=self.settings.patience,
         )
         task = loop.create_task(self.work(work, attempt, key))
         self.tasks.add(task)
@@ -209,7 +209,7 @@
     async def work(self, work: Work, call: HomeCall, key: Key) -> None:
         """Run a call and settle its key."""
         try:
-            answer = await self.home.run_now(call)
+            answer = await self.home.admit_and_run(call)
             kept = await self.keep(work, answer)
             self.core.finished(key, kept, moment())
             work.done.set_result(kept)
--- a/sequoiaspoke/node/keyedwork.py
+++ b/sequoiaspoke/node/keyedwork.py
@@ -80,6 +80,6 @@
     for name, value in kept.headers:
         answer.headers.add(name, value)
     answer.body = WholeBody(kept.body or b"")
-    answer.repeat = repeat
+    answer.replayed = repeat
     answer.complete = True
     return answer
--- a/sequoiaspoke/node/loadheader.py
+++ b/sequoiaspoke/node/loadheader.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from tornado.httputil import HTTPHeaders
 
-FIELDS = 4
+FIELD_COUNT = 4
 
 
 def write_load(report: LoadReport) -> str:
@@ -26,7 +26,7 @@
     only its load is not known.
     """
     words = headers.get(names.LOAD, "").split()
-    if len(words) < FIELDS:
+    if len(words) < FIELD_COUNT:
         return None
     try:
         in_flight, queued, limit = (max(0, int(word)) for word in words[:3])
--- a/sequoiaspoke/node/pipe.py
+++ b/sequoiaspoke/node/pipe.py
@@ -24,11 +24,11 @@
         self.error: CallError | None = None
         self.taken: asyncio.Future[None] | None = None
         self.filled: asyncio.Future[None] | None = None
-        self.returned = b""
+        self.pushed_back = b""
 
     def unread(self, data: bytes) -> None:
         """Put bytes back, which are read first."""
-        self.returned = data
+        self.pushed_back = data
 
     def put(self, chunk: bytes) -> asyncio.Future[None] | None:
         """Offer a chunk; the result, if any, is done when it was taken."""
@@ -57,9 +57,9 @@
 
     def take_ready(self) -> bytes:
         """Return the next chunk if it is there already, else nothing."""
-        if self.returned:
-            returned, self.returned = self.returned, b""
-            return returned
+        if self.pushed_back:
+            pushed_back, self.pushed_back = self.pushed_back, b""
+            return pushed_back
         chunk, self.chunk = self.chunk, b""
         if chunk:
             _resolve(self.taken)
@@ -73,7 +73,7 @@
         CallError
             The body broke off.
         """
-        while not self.returned and not self.chunk:
+        while not self.pushed_back and not self.chunk:
             if self.error is not None:
                 raise self.error
             if self.ended:
--- a/sequoiaspoke/node/server.py
+++ b/sequoiaspoke/node/server.py
@@ -48,7 +48,7 @@
         self.close_after = False
         self.refusal_headers: dict[str, str] = {}
 
-    async def head(self, status: int, headers: HTTPHeaders, first: bytes) -> None:
+    async def write_head(self, status: int, headers: HTTPHeaders, first: bytes) -> None:
         """Write the head of an answer and what is there of its body."""
         self.started = True
         if self.close_after:
@@ -70,7 +70,7 @@
         """Break the connection, so that a cut answer never looks whole."""
         self.connection.close()
 
-    def whole(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
+    def write_complete(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
         """Write a complete short answer."""
         self.started = True
         headers["Content-Length"] = str(len(body))
@@ -94,7 +94,9 @@
             headers[names.SETTLED] = names.YES
         if error.retry_after is not None:
             headers["Retry-After"] = str(max(1, round(error.retry_after)))
-        self.whole(error.status, headers, f"{error.code}: {error.detail}\n".encode())
+        self.write_complete(
+            error.status, headers, f"{error.code}: {error.detail}\n".encode()
+        )
 
     async def relay(self, answer: Answer, headers: HTTPHeaders, idle: float) -> None:
         """Pass an answer on as it arrives.
@@ -108,7 +110,7 @@
         try:
             # A short answer goes out whole at once: sent in two pieces it would
             # wake the next node twice, and the hop would take longer.
-            await self.head(answer.status, headers, answer.body.take_ready())
+            await self.write_head(answer.status, headers, answer.body.take_ready())
             while True:
                 async with asyncio.timeout(idle):
                     chunk = await answer.body.get()
@@ -188,7 +190,7 @@
     def on_close(self, server_conn: object) -> None:
         """Take the end of a connection; called by the library."""
 
-    async def drained(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no call is in flight."""
         if self.in_flight == 0:
             return
@@ -196,7 +198,7 @@
         self.idle_callbacks.append(lambda: idle.done() or idle.set_result(None))
         await idle
 
-    def finished(self) -> None:
+    def call_ended(self) -> None:
         """Count a call that has ended."""
         self.in_flight -= 1
         if self.in_flight:
@@ -237,7 +239,7 @@
         # A call whose caller breaks off at once is cancelled before `run` takes
         # its first step. Counted there, it would stay in flight for good, and
         # every later stop would wait for it until its grace is over.
-        self.task.add_done_callback(self.ended)
+        self.task.add_done_callback(self.handle_task_end)
 
     def data_received(self, chunk: bytes) -> asyncio.Future[None] | None:
         """Take a piece of the body; called by the library."""
@@ -268,11 +270,11 @@
             log.opt(exception=error).error("call-crashed", uri=call.uri)
             self.answer_failure(call, CallError("internal error"))
 
-    def ended(self, task: asyncio.Task[None]) -> None:  # noqa: ARG002
+    def handle_task_end(self, task: asyncio.Task[None]) -> None:  # noqa: ARG002
         """Let go of what the call held."""
         if self.body:
             self.body.abandon()
-        self.server.finished()
+        self.server.call_ended()
 
     def answer_failure(self, call: IncomingCall, error: CallError) -> None:
         """Send the failure, or break an answer that has begun."""
--- a/sequoiaspoke/tests/test_fuzz.py
+++ b/sequoiaspoke/tests/test_fuzz.py
@@ -227,7 +227,7 @@
         read_request(call, "z")
         while call.body and await call.body.get():
             pass
-        call.writer.whole(200, HTTPHeaders(), b"whole")
+        call.writer.write_complete(200, HTTPHeaders(), b"whole")
 
 
 async def exchange(server, data):
--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -16,7 +16,7 @@
     status,
     until,
 )
-from sequoiaspoke.tests.test_node import body_of, runs
+from sequoiaspoke.tests.test_node import body_of, total_runs
 
 ZONE = "akaki"
 FIRST = f"{names.IDEMPOTENCY_ATTEMPT}: {names.FIRST_ATTEMPT}"
@@ -68,7 +68,7 @@
             self.assertEqual(
                 ("", "yes"), (header(first, names.REPEAT), header(again, names.REPEAT))
             )
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -96,12 +96,12 @@
         async def test(deployment, ports, key):
             slow = book(key, "Standin-Service-Ms: 300")
             call = asyncio.ensure_future(raw(ports[1], slow))
-            await until(lambda: runs(deployment) == 1)
+            await until(lambda: total_runs(deployment) == 1)
             call.cancel()
             again = await raw(ports[0], slow)
             self.assertEqual((200, "", "ran"), told(again))
             self.assertEqual("yes", header(again, names.REPEAT))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -124,7 +124,7 @@
             await raw(ports[0], book(key))
             other = await raw(ports[1], book(key, body=b"crusher 8"))
             self.assertEqual((422, "key-reused"), told(other)[:2])
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -158,7 +158,7 @@
             self.assertEqual(expected, told(first)[1])
             again = await raw(ports[1], book(key))
             self.assertEqual((409, "key-outcome-unknown"), told(again)[:2])
-            self.assertEqual(ran, runs(deployment))
+            self.assertEqual(ran, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -187,7 +187,7 @@
             upstream.draining = False
             again = await raw(ports[0], book(key))
             self.assertEqual((503, "key-refused", "not-run"), told(again))
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -225,7 +225,7 @@
             again = await raw(ports[1], book(fresh))
             unknown = Ran.OUTCOME_UNKNOWN.value
             self.assertEqual((409, "key-too-old", unknown), told(again))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -263,7 +263,7 @@
             for each in (issued[0], issued[0], issued[1]):
                 answer = await raw(ports[1], book(each))
                 self.assertEqual((200, "", "ran"), told(answer))
-            self.assertEqual(2, runs(deployment))
+            self.assertEqual(2, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -282,6 +282,6 @@
         async def test(deployment, ports, key):
             answers = [told(await raw(port, book(key)))[0] for port in ports]
             self.assertEqual([200, 200], answers)
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
--- a/sequoiaspoke/tests/test_loadsockets.py
+++ b/sequoiaspoke/tests/test_loadsockets.py
@@ -27,13 +27,13 @@
 SLOTS, QUEUE = 10, 64
 
 
-def calls(port, count, *lines, path="/"):
+def start_calls(port, count, *lines, path="/"):
     """Begin so many calls at once."""
     call = request("GET", path, *lines)
     return [asyncio.ensure_future(raw(port, call)) for _ in range(count)]
 
 
-async def ends(tasks):
+async def count_outcomes(tasks):
     """Count how calls ended, by what their callers were told."""
     return Counter(header(answer, names.RAN) for answer in await asyncio.gather(*tasks))
 
@@ -55,15 +55,15 @@
         """Forty families open the same page as a ceremony begins."""
 
         async def test(port, far, admission):
-            burst = calls(port, 40, HOLD)
+            burst = start_calls(port, 40, HOLD)
             await until(lambda: len(admission.queue) == 40 - SLOTS)
             far.upstream.release()
-            self.assertEqual({"ran": 40}, dict(await ends(burst)))
+            self.assertEqual({"ran": 40}, dict(await count_outcomes(burst)))
             self.assertEqual(SLOTS, far.upstream.slots.peak)
 
         self.run_pattern(test)
 
-    def test_saturation_turns_the_excess_away_and_runs_the_rest(self):
+    def test_saturation_refuses_the_excess_and_runs_the_rest(self):
         """Far more calls come than the target bears.
 
         Those turned away hear it while the others still wait, with a time to
@@ -71,18 +71,19 @@
         """
 
         async def test(port, far, admission):
-            many = calls(port, 120, HOLD)
+            many = start_calls(port, 120, HOLD)
             excess = 120 - SLOTS - QUEUE
             await until(lambda: sum(task.done() for task in many) == excess)
             for task in many:
                 if task.done():
                     answer = task.result()
-                    told = (status(answer), header(answer, names.RAN))
-                    self.assertEqual((503, "not-run"), told)
+                    outcome = (status(answer), header(answer, names.RAN))
+                    self.assertEqual((503, "not-run"), outcome)
                     self.assertTrue(int(header(answer, "Retry-After")) >= 1)
             far.upstream.release()
             self.assertEqual(
-                {"ran": 120 - excess, "not-run": excess}, dict(await ends(many))
+                {"ran": 120 - excess, "not-run": excess},
+                dict(await count_outcomes(many)),
             )
             self.assertEqual(120 - excess, far.upstream.runs_total)
             self.assertEqual((SLOTS, 0), (far.upstream.slots.peak, shed(far)))
@@ -92,20 +93,22 @@
 
         self.run_pattern(test)
 
-    def test_a_hot_caller_costs_no_other_caller(self):
+    def test_a_flooding_caller_does_not_crowd_out_others(self):
         """A clerk's script fills the target and its queue before others call."""
 
         async def test(port, far, admission):
-            flood = calls(port, 100, HOLD, "X-Member: script")
+            flood = start_calls(port, 100, HOLD, "X-Member: script")
             await until(lambda: sum(admission.refused.values()) == 100 - SLOTS - QUEUE)
             others = [
-                call for n in range(8) for call in calls(port, 1, f"X-Member: {n}")
+                call
+                for n in range(8)
+                for call in start_calls(port, 1, f"X-Member: {n}")
             ]
             refused = 100 - SLOTS - QUEUE + len(others)
             await until(lambda: sum(admission.refused.values()) == refused)
             far.upstream.release()
-            self.assertEqual({"ran": 8}, dict(await ends(others)))
-            self.assertEqual(100 - refused, (await ends(flood))["ran"])
+            self.assertEqual({"ran": 8}, dict(await count_outcomes(others)))
+            self.assertEqual(100 - refused, (await count_outcomes(flood))["ran"])
 
         self.run_pattern(test)
 
@@ -117,16 +120,20 @@
 
         async def test(port, far, admission):
             for _ in range(20):
-                await ends(calls(port, 1, "Standin-Service-Ms: 1"))
-            await ends(calls(port, 1, "Standin-Service-Ms: 2000", path="/archive"))
-            pages = calls(port, 14, HOLD, path="/archive")
+                await count_outcomes(start_calls(port, 1, "Standin-Service-Ms: 1"))
+            await count_outcomes(
+                start_calls(port, 1, "Standin-Service-Ms: 2000", path="/archive")
+            )
+            pages = start_calls(port, 14, HOLD, path="/archive")
             await until(lambda: len(admission.running) + len(admission.queue) == 14)
             for _ in range(6):
-                look = await ends(calls(port, 1, "Standin-Service-Ms: 1"))
-                self.assertEqual({"ran": 1}, dict(look))
+                outcomes = await count_outcomes(
+                    start_calls(port, 1, "Standin-Service-Ms: 1")
+                )
+                self.assertEqual({"ran": 1}, dict(outcomes))
             self.assertFalse(any(page.done() for page in pages))
             far.upstream.release()
-            self.assertEqual({"ran": 14}, dict(await ends(pages)))
+            self.assertEqual({"ran": 14}, dict(await count_outcomes(pages)))
 
         self.run_pattern(test, text + ROUTE)
 
@@ -142,7 +149,7 @@
             tasks = []
             for _ in range(40):
                 held = len(stuck.running)
-                (task,) = calls(near.node.ports["call"], 1, HOLD)
+                (task,) = start_calls(near.node.ports["call"], 1, HOLD)
                 tasks.append(task)
                 await until(
                     lambda task=task, held=held: (
@@ -152,7 +159,7 @@
             self.assertEqual(0, len(stuck.queue))
             self.assertTrue(far.upstream.runs_total >= 40 - SLOTS)
             near.upstream.release()
-            self.assertEqual({"ran": 40}, dict(await ends(tasks)))
+            self.assertEqual({"ran": 40}, dict(await count_outcomes(tasks)))
 
         self.run_with(test)
 
@@ -163,7 +170,7 @@
     Calls that still reach it are cut when it goes, or wait for its grace.
     """
 
-    def test_the_list_of_vms_takes_a_target_off_new_work(self):
+    def test_a_vm_listed_as_leaving_gets_no_new_calls(self):
         async def test(deployment):
             near, far = deployment.sites
             far.leaving = True
--- a/sequoiaspoke/tests/test_node.py
+++ b/sequoiaspoke/tests/test_node.py
@@ -32,7 +32,7 @@
     return near.node.ports["call"], far
 
 
-def runs(deployment):
+def total_runs(deployment):
     return sum(site.upstream.runs_total for site in deployment.sites)
 
 
@@ -40,7 +40,7 @@
     return answer.partition(b"\r\n\r\n")[2]
 
 
-class WholePathTests(LoopbackTestCase):
+class EndToEndTests(LoopbackTestCase):
     def test_a_call_passes_two_nodes_with_its_own_headers_only(self):
         async def test(deployment):
             port, far = await two_hops(deployment)
@@ -74,11 +74,11 @@
             self.assertEqual(
                 [(410, "refused-by-rule"), (307, ""), (404, "no-rule")], told
             )
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
-    def test_calls_finish_under_the_rules_they_began_with(self):
+    def test_calls_finish_under_the_rules_they_started_with(self):
         async def test(deployment):
             port, far = await two_hops(deployment)
             slow = request("GET", "/hire", "Standin-Service-Ms: 200")
@@ -111,7 +111,7 @@
 
         self.run_with(test)
 
-    def test_a_slow_reader_holds_the_recording_back(self):
+    def test_a_slow_reader_applies_back_pressure(self):
         """A family's line takes a recording slower than the upstream sends it.
 
         Without back pressure the rest piles up in the node's memory until the
@@ -165,7 +165,7 @@
                 answer = await raw(port, head + b"0\r\n\r\nGET /next HTTP/1.1\r\n\r\n")
                 self.assertEqual(400, status(answer), head)
                 self.assertEqual(1, answer.count(b"HTTP/1.1 "), head)
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
@@ -200,7 +200,7 @@
             port = deployment.sites[0].node.ports["call"]
             answer = await raw(port, request("GET", "/", "X-Long: " + "x" * 70_000))
             self.assertNotEqual(200, status(answer))
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
@@ -236,7 +236,7 @@
 
         self.run_with(test)
 
-    def test_a_call_that_may_have_run_is_not_repeated(self):
+    def test_a_call_that_may_have_run_is_not_retried(self):
         """The connection breaks after the upstream ran a charge.
 
         A second attempt would charge the member's account twice.
@@ -249,7 +249,7 @@
             self.assertEqual(502, status(answer))
             self.assertEqual("outcome-unknown", header(answer, names.RAN))
             self.assertEqual("connection-lost", header(answer, names.REASON))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_with(test)
 
@@ -296,7 +296,7 @@
             self.assertEqual(200, status(await call))
             answer = await raw(port, request("GET", "/"))
             self.assertEqual("not-run", header(answer, names.RAN))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_with(test)
 
