--- a/sequoiaspoke/node/attempts.py
+++ b/sequoiaspoke/node/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a call: which target, whether another, what was learnt."""
+"""Run the attempts of a call: choose targets, retry, and record the outcomes."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Attempts:
-    """Try targets until one answers or another try is not allowed."""
+    """Attempts at targets until one answers or no retry is allowed."""
 
     def __init__(
         self, settings: Settings, home: Home, counters: CallCounters, rng: random.Random
@@ -61,12 +61,12 @@
     async def run(
         self, service: Service, policy: CallPolicy, call: HomeCall, progress: Progress
     ) -> Answer:
-        """Return the first answer.
+        """Return the answer of the first attempt that succeeds.
 
         Raises
         ------
         CallError
-            The last attempt's failure; no further one would help or is safe.
+            The failure of the last attempt, when a retry would be useless or unsafe.
         """
         loop = asyncio.get_running_loop()
         self.retries.first_attempt(service.name)
@@ -97,7 +97,7 @@
         number: int,
         error: CallError,
     ) -> None:
-        """Prepare another attempt, or raise the error of the last one."""
+        """Wait before a retry, or raise the error if there is to be none."""
         now = asyncio.get_running_loop().time()
         if not replayable(call):
             raise error
@@ -120,13 +120,14 @@
     async def attempt(
         self, endpoint: Endpoint, call: HomeCall, may_go_direct: bool = False
     ) -> Answer:
-        """Make one attempt and learn from how it ends.
+        """Make one attempt and report its outcome to the balancer.
 
         Parameters
         ----------
         may_go_direct : bool
-            Whether a granted connection past the home may be used; never for a
-            call that must not run twice, since only its home can tell.
+            Whether the call may go straight to the upstream under a grant, without
+            the home. False for a call that must not run twice, because only the
+            home can tell whether it has run.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -154,7 +155,7 @@
             self.balancer.report(call.target, self.home.report(), now)
 
     def record_answer_end(self, target: str, answer: Answer, latency: float) -> None:
-        """Learn from an answer that is over; a broken one is a failure."""
+        """Record the outcome of an answer that has ended; an error is a failure."""
         outcome = Outcome.ANSWERED if answer.complete else Outcome.CANCELLED
         if answer.error is not None:
             outcome = Outcome.FAILED
@@ -162,12 +163,12 @@
         self.balancer.finished(target, outcome, latency, now)
 
     def record_failure(self, target: str, outcome: Outcome, began: float) -> None:
-        """Learn from an attempt that brought no answer."""
+        """Record the outcome of an attempt that got no answer."""
         now = asyncio.get_running_loop().time()
         self.balancer.finished(target, outcome, now - began, now)
 
     async def send(self, endpoint: Endpoint, call: HomeCall) -> Answer:
-        """Send the call to another node; its refusals come back typed."""
+        """Send the call to another node and raise the error that it reports."""
         address = Address(endpoint.address, endpoint.mesh_port)
         pool = self.pools.get(address)
         if pool is None:
@@ -197,7 +198,7 @@
         raise error
 
     def headers(self, call: HomeCall) -> names.HTTPHeaders:
-        """Return what the target's node is told of a call."""
+        """Return the request headers for the target's home node."""
         headers = names.end_to_end(call.headers)
         remaining = call.deadline - asyncio.get_running_loop().time()
         remaining -= self.settings.routing.hop_margin
@@ -216,10 +217,10 @@
         return headers
 
     def retain(self, snapshot: Snapshot) -> None:
-        """Forget services and targets that are not in force any more.
+        """Drop the state of services and targets that the snapshot does not have.
 
-        Hundreds of VMs are replaced a day; what is kept of each would fill the
-        memory of a node that runs for months.
+        Hundreds of VMs are replaced each day, so otherwise the memory of a node that
+        runs for months would fill with the state of VMs that are gone.
         """
         services = frozenset(snapshot.services)
         self.retries.retain(services)
@@ -235,7 +236,7 @@
             self.pools.pop(address).close()
 
     def close(self) -> None:
-        """Close the idle connections to other nodes."""
+        """Close the connections to other nodes; those in use when their calls end."""
         self.direct.close()
         for pool in self.pools.values():
             pool.close()
@@ -247,14 +248,14 @@
 
 
 def outcome_of(error: BaseException) -> Outcome:
-    """Return what a failed attempt says of its target."""
+    """Return the outcome that an error means for the target of the attempt."""
     if isinstance(error, REFUSALS):
         return Outcome.REFUSED
     if isinstance(error, DeadlineUnknownError):
         return Outcome.TIMED_OUT
     if isinstance(error, DeadlineNotRunError):
-        # Reported by the target's node it is its queue; seen here, no
-        # connection came about in all that time.
+        # If the target's node reports it, the call expired in that node's queue;
+        # if it was raised here, no connection was made before the deadline.
         return Outcome.REFUSED if error.remote else Outcome.TIMED_OUT
     if isinstance(error, ConnectError | OutcomeUnknownError):
         return Outcome.FAILED
--- a/sequoiaspoke/node/client.py
+++ b/sequoiaspoke/node/client.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams and to other nodes over pooled connections."""
+"""HTTP client with pooled connections to upstreams and other nodes."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
     from sequoiaspoke.settings.schema import LimitSettings
 
 NO_BODY_STATUSES = frozenset({204, 304})
-# A pooled connection is used again only well before the other end's keep-alive
-# limit. Otherwise that end may close it just as the next call is sent, and a
-# booking that never ran would have to be answered "outcome unknown".
+# Part of the keep-alive limit for which an idle connection is reused. Close to the
+# limit the server may close it just as the next call is sent, and a call that never
+# ran would have to be answered with "outcome unknown".
 REUSE_FRACTION = 0.4
 
 
 @dataclass(frozen=True)
 class Address:
-    """Where a server listens."""
+    """Host and port of a server."""
 
     host: str
     port: int
 
 
 class Answer(HTTPMessageDelegate):
-    """An answer being read; `head` is awaited first, then the body."""
+    """A response that is being received; await `head`, then read the body."""
 
     def __init__(self, method: str) -> None:
         self.method = method
@@ -70,17 +70,19 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the answer's head; called by the library."""
+        """Store the status and headers; called by Tornado."""
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < 200:
             return
         self.status, self.reason = start_line.code, start_line.reason
         self.headers = headers
         if not self.is_framed():
-            # An answer that ends with its connection looks the same whether it
-            # is whole or was cut: a family would see half a recording as all
-            # of it. So it is a failure from the start.
-            self.fail(TruncatedAnswerError("the answer announces no length"))
+            # If only the close of the connection ends the body, a truncated answer
+            # cannot be told from a complete one, and the caller would take half
+            # of a recording for all of it. So such an answer fails at once.
+            self.fail(
+                TruncatedAnswerError("the answer has no length and is not chunked")
+            )
             return
         wants_close = headers.get("Connection", "").lower() == "close"
         self.reusable = start_line.version == "HTTP/1.1" and not wants_close
@@ -88,27 +90,29 @@
             self.head.set_result(None)
 
     def is_framed(self) -> bool:
-        """Return whether the end of the body can be told from a cut."""
+        """Return whether the framing shows where the body ends."""
         if self.method == "HEAD" or self.status in NO_BODY_STATUSES:
             return True
         return "Content-Length" in self.headers or "Transfer-Encoding" in self.headers
 
     def data_received(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Take a piece of the body; called by the library."""
+        """Pass a chunk of the body to the reader; called by Tornado."""
         return self.body.put(chunk)
 
     def finish(self) -> None:
-        """Take the end of the body; called by the library."""
+        """Mark the body as complete; called by Tornado."""
         if self.error is None:
             self.complete = True
             self.body.end()
 
     def on_connection_close(self) -> None:
-        """Take a connection that broke; called by the library."""
-        self.fail(TruncatedAnswerError("the connection broke within the answer"))
+        """Fail the answer of a lost connection; called by Tornado."""
+        self.fail(
+            TruncatedAnswerError("the connection closed before the answer was complete")
+        )
 
     def fail(self, error: CallError) -> None:
-        """Give the failure to whoever waits for the head or the body."""
+        """Raise the error in the code that waits for the head or the body."""
         self.error = error
         self.body.fail(error)
         if not self.head.done():
@@ -116,11 +120,11 @@
             self.head.exception()
 
     def on_close(self, callback: Callable[[], None]) -> None:
-        """Run a callback once, when the answer is done with."""
+        """Add a callback that `close` runs once."""
         self.close_callbacks.append(callback)
 
     def close(self) -> None:
-        """Give back what the answer holds; safe to call again."""
+        """Run the close callbacks; further calls do nothing."""
         callbacks, self.close_callbacks = self.close_callbacks, []
         for callback in callbacks:
             callback()
@@ -149,7 +153,7 @@
         )
 
     async def acquire(self) -> IOStream:
-        """Return a connection, an idle one if there is any.
+        """Return an idle connection, or open one.
 
         Raises
         ------
@@ -178,19 +182,19 @@
         return stream
 
     def release(self, stream: IOStream) -> None:
-        """Keep a connection for the next call."""
+        """Return a connection to the pool."""
         if stream.closed():
             return
         if self.closed:
             stream.close()
             return
-        # A close callback makes the loop watch the idle connection, so that one
-        # the other end has closed is found out before a call is sent on it.
+        # With a close callback Tornado watches the idle stream, so that a close by
+        # the server is noticed before a call is sent on the connection.
         stream.set_close_callback(_ignore_close)
         self.idle.append((stream, time.monotonic()))
 
     def close(self) -> None:
-        """Close every idle connection; the others when their calls end."""
+        """Close the idle connections now and the others when their calls end."""
         self.closed = True
         while self.idle:
             self.idle.pop()[0].close()
@@ -203,19 +207,19 @@
         body: ReplayableBody | None,
         deadline: float,
     ) -> Answer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
         Parameters
         ----------
         deadline : float
-            Time of the loop's clock at which the head must have arrived.
+            Latest time, by the event loop's clock, for the head to arrive.
 
         Raises
         ------
         NotRunError
-            Nothing was sent.
+            The call failed before anything was sent.
         CallError
-            Any failure after that.
+            The call failed after that.
         """
         try:
             async with asyncio.timeout_at(deadline):
@@ -231,7 +235,7 @@
 
 
 class Exchange:
-    """One request and its answer on one connection."""
+    """One request and its response on one connection."""
 
     def __init__(
         self,
@@ -269,7 +273,7 @@
         return self.answer
 
     async def send(self, body: ReplayableBody) -> None:
-        """Send the body chunk by chunk as the other end takes it."""
+        """Send the body chunk by chunk, waiting until each has been written."""
         try:
             while chunk := await body.get():
                 await self.connection.write(chunk)
@@ -281,18 +285,18 @@
             self.stream.close()
 
     async def receive(self) -> None:
-        """Read the answer; the connection is kept when both sides are done."""
+        """Read the answer; fail it if the connection closes before its head."""
         try:
             await self.connection.read_response(self.answer)
         except StreamClosedError:
             pass
         if not self.answer.head.done():
             self.answer.fail(
-                ConnectionLostError(f"{self.pool.address}: no answer before the close")
+                ConnectionLostError(f"{self.pool.address}: closed before an answer")
             )
 
     def close(self) -> None:
-        """Keep the connection if the exchange is whole, else close it."""
+        """Return the connection to the pool if it is reusable, else close it."""
         reusable = self.answer.complete and self.sent and self.answer.reusable
         if reusable and self.tasks[-1].done():
             self.pool.release(self.stream)
--- a/sequoiaspoke/node/entry.py
+++ b/sequoiaspoke/node/entry.py
@@ -1,4 +1,4 @@
-"""The entry side of a call: rules, target choice, attempts, answer."""
+"""Handle calls at the entry node: match rules, choose a target, relay the answer."""
 
 from __future__ import annotations
 
@@ -48,9 +48,9 @@
     from sequoiaspoke.node.server import IncomingCall
     from sequoiaspoke.settings.schema import Settings
 
-# Bytes of a request body kept for another attempt; the calls that are retried
-# (availability, condolences, charges) are far shorter, and a recording that is
-# uploaded gets one attempt.
+# Bytes of a request body that are buffered for a retry. Bodies of calls that are
+# retried are usually far shorter; a larger upload, such as a recording, gets one
+# attempt.
 REPLAY_BYTES = 65536
 
 
@@ -59,7 +59,7 @@
 
 
 class Entry(CallHandler):
-    """Calls of callers and of this VM's own upstream."""
+    """Handler of the calls from outside the mesh and from this VM's own upstream."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self.keyed = KeyedEntry(settings.idempotency, config, self.attempts, rng)
 
     async def handle(self, call: IncomingCall) -> None:
-        """Answer a caller by the rules in force."""
+        """Answer a call and record its failure and its duration."""
         started = time.perf_counter()
         try:
             await self.dispatch(call)
@@ -90,14 +90,14 @@
             self.counters.observe(time.perf_counter() - started)
 
     async def dispatch(self, call: IncomingCall) -> None:
-        """Find the rule that decides and do what it says."""
+        """Find the first matching rule and carry out its action."""
         snapshot = self.config.current
         if snapshot is None:
             raise NotReadyError("no version accepted yet", 1.0)
-        # A node that was paused would decide by rules that the fleet may have
-        # left meanwhile; it asks its peers first, which takes milliseconds.
+        # After a pause of this process, its rules may be older than the fleet's.
+        # It asks its peers for their version first, which takes milliseconds.
         if not self.config.verified:
-            raise NotReadyError("version to be verified after a pause", 1.0)
+            raise NotReadyError("version not verified yet after a pause", 1.0)
         if call.uri.startswith(names.KEYS_PATH):
             await self.issue_keys(call, snapshot)
             return
@@ -117,7 +117,7 @@
         await self.relay(call, service.name, answer)
 
     async def issue_keys(self, call: IncomingCall, snapshot: Snapshot) -> None:
-        """Answer with keys of a target that is up, of this zone if possible."""
+        """Answer with keys issued by a live target, in this zone if possible."""
         name = call.uri.removeprefix(names.KEYS_PATH)
         service = snapshot.services.get(name)
         if service is None:
@@ -126,7 +126,7 @@
         await self.relay(call, name, answer)
 
     async def relay(self, call: IncomingCall, service: str, answer: Answer) -> None:
-        """Pass an answer on to the caller."""
+        """Stream an answer to the caller."""
         self.counters.calls[service] += 1
         try:
             headers = names.answer_headers(answer)
@@ -135,10 +135,11 @@
             answer.close()
 
     def zone_of(self, call: IncomingCall) -> str:
-        """Return the zone that rules see: a key's own, else this node's.
+        """Return the zone to match rules with: the key's, else this node's.
 
-        A repeat may come in through another zone. Under a rule for this zone alone
-        it would go to another service than the first attempt, and run there too.
+        A retry may come in through another zone. If a rule holds for one zone only,
+        matching by the entry's zone could send the retry to another service than
+        the first attempt, and the call would run twice.
         """
         own = self.settings.node.zone
         if names.IDEMPOTENCY_KEY not in call.headers:
@@ -147,12 +148,12 @@
             text = call.headers[names.IDEMPOTENCY_KEY]
             return parse_key(text, self.settings.idempotency).zone
         except InvalidKeyError:
-            return own  # refused later, if the rule wants a key
+            return own  # refused later, if the rule requires a key
 
     def pick_service(
         self, snapshot: Snapshot, rule: Rule, call: IncomingCall
     ) -> Service:
-        """Choose one service of a weighted split."""
+        """Choose a service of the weighted split, by the key of a keyed call."""
         assert isinstance(rule.then, RouteTo)
         key = call.headers.get(rule.then.sticky_header, "")
         if is_keyed(call, rule.policy):
@@ -169,7 +170,7 @@
     async def run_call(
         self, call: IncomingCall, rule: Rule, route: RouteTo, service: Service
     ) -> Answer:
-        """Set the call's deadline and depth, and try targets."""
+        """Set the call's deadline and depth, and run its attempts."""
         policy = rule.policy
         has_deadline = names.DEADLINE in call.headers
         progress = enter(
@@ -204,17 +205,17 @@
         return await self.attempts.run(service, policy, home_call, progress)
 
     def close(self) -> None:
-        """Close the idle connections to other nodes."""
+        """Close the connections to other nodes; those in use when their calls end."""
         self.attempts.close()
 
 
 def is_keyed(call: IncomingCall, policy: CallPolicy) -> bool:
-    """Return whether the call may run once only and can be told from others."""
+    """Return whether the call may run only once and carries an idempotency key."""
     return not policy.idempotent and names.IDEMPOTENCY_KEY in call.headers
 
 
 def read_request(call: IncomingCall, zone: str) -> RequestHead:
-    """Read what the rules look at."""
+    """Return the parts of the request that rules match on."""
     headers = list(call.headers.get_all())
     return make_request_head(
         call.method, call.uri, call.headers.get("Host", ""), headers, zone
@@ -222,7 +223,7 @@
 
 
 def redirect(call: IncomingCall, action: Redirect) -> None:
-    """Answer with the redirection of a rule."""
+    """Answer with the redirect of a rule."""
     headers = HTTPHeaders({"Location": action.location})
     headers[names.RAN] = Ran.NOT_RUN.value
     call.writer.write_complete(action.status, headers, b"")
--- a/sequoiaspoke/node/gate.py
+++ b/sequoiaspoke/node/gate.py
@@ -1,4 +1,4 @@
-"""Let calls wait for what admission decides."""
+"""Make calls wait until admission starts or refuses them."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
     from sequoiaspoke.core.admission.settings import AdmissionSettings
     from sequoiaspoke.core.rules.model import Priority
 
-TICK_INTERVAL = 0.02  # seconds between looks at a queue; a refusal comes that late
+# Seconds between checks of a queue; a refusal may come late by as much.
+TICK_INTERVAL = 0.02
 
 
 class Gate:
-    """The slots of this VM's target."""
+    """Asynchronous access to the slots of this VM's upstream."""
 
     def __init__(self, settings: AdmissionSettings, slots: int, rng: Random) -> None:
         self.admission = Admission(settings, slots, rng)
@@ -34,12 +35,12 @@
     async def enter(
         self, caller: str, key: str, kind: str, priority: Priority, deadline: float
     ) -> int:
-        """Wait for a slot and return the number to leave with.
+        """Wait for a slot and return the number to pass to `leave`.
 
         Raises
         ------
         CallError
-            The call is turned away; it was not run.
+            The call was refused and has not run.
         """
         loop = asyncio.get_running_loop()
         number, now = next(self.numbers), loop.time()
@@ -49,8 +50,8 @@
         try:
             await admitted
         except asyncio.CancelledError:
-            # The caller is gone. It may have been given a slot in the same turn
-            # of the loop; kept, that slot would be lost for good.
+            # The caller disconnected, but the call may have got a slot in the same
+            # iteration of the event loop; that slot must not leak.
             self.waiting.pop(number, None)
             if not self.admission.cancel(number):
                 self.leave(number, Outcome.CANCELLED, 0.0)
@@ -58,12 +59,12 @@
         return number
 
     def leave(self, number: int, outcome: Outcome, latency: float) -> None:
-        """Give a slot back; see `Admission.release`."""
+        """Release a slot; see `Admission.release`."""
         now = asyncio.get_running_loop().time()
         self.apply_verdicts(self.admission.release(number, outcome, latency, now))
 
     def apply_verdicts(self, verdicts: list[Verdict]) -> None:
-        """Tell the calls what was decided."""
+        """Wake the calls that were started or refused, and schedule the next tick."""
         for verdict in verdicts:
             if isinstance(verdict, Started):
                 admitted = self.waiting.pop(verdict.call, None)
@@ -82,6 +83,6 @@
             asyncio.get_running_loop().call_later(TICK_INTERVAL, self.tick)
 
     def tick(self) -> None:
-        """Look at the queue again."""
+        """Check the queue for calls to start or refuse."""
         self.ticking = False
         self.apply_verdicts(self.admission.tick(asyncio.get_running_loop().time()))
--- a/sequoiaspoke/node/headers.py
+++ b/sequoiaspoke/node/headers.py
@@ -1,4 +1,4 @@
-"""Header names between nodes, and which headers end at each hop."""
+"""Names of the mesh's headers, and the headers that are forwarded."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 IDEMPOTENCY_ATTEMPT = "Idempotency-Attempt"
 FIRST_ATTEMPT = "first"
 YES = "yes"
-# GET this with a service's name for keys that one of its targets issues.
+# GET this path, with a service's name appended, returns keys issued by a target.
 KEYS_PATH = "/.well-known/sequoiaspoke/keys/"
 
 HOP_BY_HOP = frozenset(
@@ -53,7 +53,7 @@
 
 
 def end_to_end(headers: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers that travel on; the mesh's own do not."""
+    """Return the headers to forward, without hop-by-hop ones and the mesh's own."""
     connection_options = [
         name.strip().lower() for name in headers.get("Connection", "").split(",")
     ]
@@ -70,7 +70,7 @@
 
 
 def answer_headers(answer: Answer) -> HTTPHeaders:
-    """Return the headers with which an upstream's answer travels on."""
+    """Return the headers with which an upstream's answer is forwarded."""
     headers = end_to_end(answer.headers)
     headers[RAN] = Ran.RAN.value
     if answer.replayed:
@@ -79,7 +79,7 @@
 
 
 def whole_number(headers: HTTPHeaders, name: str, default: int) -> int:
-    """Return a header's number, or the default where it is none."""
+    """Return the number in a header, or the default if it has none."""
     text = headers.get(name, "")
     return (
         int(text) if text.isascii() and text.isdigit() and len(text) < 16 else default
--- a/sequoiaspoke/node/home.py
+++ b/sequoiaspoke/node/home.py
@@ -1,4 +1,4 @@
-"""The home side of a call: the node on the target's VM hands it over."""
+"""Run calls at the home node, which is on the VM of the target upstream."""
 
 from __future__ import annotations
 
@@ -40,24 +40,24 @@
     from sequoiaspoke.settings.schema import Settings
 
 FIRST_SERVER_ERROR = 500
-INITIAL_SLOTS = 10  # until a version tells how many the target has
+INITIAL_SLOTS = 10  # until the first configuration version sets the number
 PRIORITIES = {priority.value: priority for priority in Priority}
 
 
 @dataclass(frozen=True)
 class HomeCall:
-    """A call that an entry node sends to the home of its target.
+    """A call as the entry node sends it to the home of its target.
 
     Attributes
     ----------
     deadline : float
         Time of this node's loop clock at which the answer must have begun.
     keyed : bool
-        Whether the call has an idempotency key and may run once only.
+        Whether the call has an idempotency key and may run only once.
     before_send : callable or None
-        Raises a `CallError` if the call may not be handed over after all.
+        Called just before the call is sent; raises a `CallError` to stop it.
     min_wait : float
-        Seconds to wait for the upstream at least, also past the deadline.
+        Least time in seconds to wait for the upstream, even past the deadline.
     """
 
     service: str
@@ -79,7 +79,7 @@
 
 
 class Home:
-    """Run the calls of this VM's target, as many as it runs well."""
+    """Calls to this VM's upstream, with admission control."""
 
     def __init__(
         self, settings: Settings, counters: CallCounters, rng: random.Random
@@ -93,15 +93,15 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the calls that hold a slot."""
+        """Return how many calls hold a slot."""
         return len(self.gate.admission.running)
 
     def report(self) -> LoadReport:
-        """Return the load to tell other nodes."""
+        """Return the load report for other nodes."""
         return self.gate.admission.report(asyncio.get_running_loop().time())
 
     async def run(self, call: HomeCall) -> Answer:
-        """Answer a call, by running it unless its key has run before.
+        """Answer a call; a keyed call that has run before is not run again.
 
         Raises
         ------
@@ -115,7 +115,7 @@
         return await self.admit_and_run(call)
 
     async def admit_and_run(self, call: HomeCall) -> Answer:
-        """Hand a call to the upstream and return its answer.
+        """Wait for a slot, run the call at the upstream and return its answer.
 
         Raises
         ------
@@ -124,7 +124,7 @@
         """
         upstream = self.settings.upstream
         if call.service != upstream.service or call.target != upstream.target:
-            raise WrongHomeError(f"{call.service}/{call.target} is not here")
+            raise WrongHomeError(f"{call.service}/{call.target} is not at this node")
         kind = f"{call.rule} {call.method}"
         number = await self.gate.enter(
             call.caller, call.key, kind, call.priority, call.deadline
@@ -141,14 +141,24 @@
         return answer
 
     def release_slot(self, number: int, answer: Answer, latency: float) -> None:
-        """Free the slot of a call whose answer is over."""
+        """Release the slot of a call whose answer has ended."""
         outcome = Outcome.ANSWERED if answer.complete else Outcome.CANCELLED
         self.gate.leave(number, outcome, latency)
 
     async def send_to_upstream(
         self, call: HomeCall, pool: Pool | None = None
     ) -> Answer:
-        """Send the call to the upstream, or to another one under a grant."""
+        """Send the call to this VM's upstream, or with `pool` to a granted one.
+
+        Raises
+        ------
+        UpstreamShedError
+            The upstream refused the call without running it.
+        UpstreamUnsureError
+            The upstream failed and cannot tell whether the call ran.
+        CallError
+            The connection failed or the deadline passed.
+        """
         loop = asyncio.get_running_loop()
         if call.before_send:
             call.before_send()
@@ -168,11 +178,14 @@
         retry_after = names.whole_number(answer.headers, "Retry-After", 1)
         retried = names.RETRIED in answer.headers
         draining = answer.headers.get(names.REASON) == DrainingError.code
-        # Under a grant it is another VM's upstream that drains, not this one's.
+        # A call under a grant went to the upstream of another VM, which is the one
+        # that drains.
         if draining and pool is None:
             self.gate.admission.health.upstream_draining(loop.time())
         await discard(answer)
-        error: CallError = UpstreamUnsureError(f"{call.target} gave the call up")
+        error: CallError = UpstreamUnsureError(
+            f"{call.target} cannot tell whether the call ran"
+        )
         if ran == Ran.NOT_RUN.value:
             error = UpstreamShedError(f"{call.target} shed the call", retry_after)
         error.retried = retried
@@ -180,7 +193,7 @@
 
 
 class HomeHandler(CallHandler):
-    """Calls that other nodes send to this one."""
+    """Handler of the calls that other nodes send to this home."""
 
     def __init__(self, settings: Settings, home: Home) -> None:
         self.settings = settings
@@ -188,7 +201,7 @@
         self.grants = GrantServer(settings, home)
 
     async def handle(self, call: IncomingCall) -> None:
-        """Run a call at this home and relay its answer."""
+        """Run a call and relay its answer with a load report."""
         if names.GRANT in call.headers:
             await self.grants.answer(call)
             return
@@ -209,16 +222,16 @@
 
 
 def read_home_call(call: IncomingCall) -> HomeCall:
-    """Read what the entry node says of a call.
+    """Build the call from the headers that the entry node set.
 
     Raises
     ------
     BadRequestError
-        The mesh's own headers are missing.
+        The header of the service or of the target is missing.
     """
     headers = call.headers
     if names.SERVICE not in headers or names.TARGET not in headers:
-        raise BadRequestError("not a call of a node")
+        raise BadRequestError("no service or target header: not sent by a node")
     remaining = names.whole_number(headers, names.DEADLINE, 10_000) / 1000
     body = ReplayableBody(call.body, 0) if call.body else None
     return HomeCall(
@@ -240,7 +253,7 @@
 
 
 def outcome_of(error: BaseException) -> Outcome:
-    """Return what a failed call says of the upstream."""
+    """Return the outcome that an error means for the upstream."""
     if isinstance(error, UpstreamShedError):
         return Outcome.REFUSED
     if isinstance(error, ConnectError):
@@ -249,7 +262,7 @@
 
 
 async def discard(answer: Answer) -> None:
-    """Read a short answer to its end, so that its connection can be kept."""
+    """Read a short answer to its end, so that its connection can be reused."""
     try:
         while await answer.body.get():
             pass
--- a/sequoiaspoke/node/loadheader.py
+++ b/sequoiaspoke/node/loadheader.py
@@ -1,4 +1,4 @@
-"""The load report that rides on answers between nodes."""
+"""The header with the load report in answers between nodes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def write_load(report: LoadReport) -> str:
-    """Return the header's value."""
+    """Return the report as the header's value."""
     numbers = (report.in_flight, report.queued, report.limit)
     return " ".join([*map(str, numbers), report.state.value])
 
 
 def read_load(headers: HTTPHeaders) -> LoadReport | None:
-    """Return the report of an answer, or None without a readable one.
+    """Return the load report in an answer's headers, or None if unreadable.
 
-    A node of another release may write it otherwise; its answers still count,
-    only its load is not known.
+    A node of another release may use another format. Its answers are still valid;
+    only its load stays unknown.
     """
     words = headers.get(names.LOAD, "").split()
     if len(words) < FIELD_COUNT:
--- a/sequoiaspoke/node/pipe.py
+++ b/sequoiaspoke/node/pipe.py
@@ -1,4 +1,4 @@
-"""A body in transit: one chunk at a time, so that memory stays bounded."""
+"""Stream bodies chunk by chunk, so that memory use stays bounded."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class BodyPipe:
-    """Hand chunks from a reading connection to a writing one.
+    """Channel that passes chunks from a reading connection to a writing one.
 
-    The producer waits until the consumer has taken its chunk. Without that a
-    recording that arrives faster than a family's line can take it would pile
-    up in memory until the node is killed and every call on it is lost.
+    The producer waits until the consumer has taken its chunk (back pressure).
+    Otherwise a large body that arrives faster than the receiver reads it would be
+    buffered until the node runs out of memory and loses every call on it.
     """
 
     def __init__(self) -> None:
@@ -27,11 +27,14 @@
         self.pushed_back = b""
 
     def unread(self, data: bytes) -> None:
-        """Put bytes back, which are read first."""
+        """Push bytes back; `get` and `take_ready` return them first."""
         self.pushed_back = data
 
     def put(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Offer a chunk; the result, if any, is done when it was taken."""
+        """Offer a chunk and return a future that is done once it is taken.
+
+        There is none if the consumer has abandoned the body.
+        """
         if self.abandoned:
             return None
         self.chunk = chunk
@@ -40,23 +43,23 @@
         return self.taken
 
     def end(self) -> None:
-        """Say that the body is whole."""
+        """Mark the body as complete."""
         self.ended = True
         _resolve(self.filled)
 
     def fail(self, error: CallError) -> None:
-        """Say that the body broke off."""
+        """Mark the body as broken off; `get` raises the error."""
         self.error = error
         _resolve(self.filled)
 
     def abandon(self) -> None:
-        """Let the producer run on; nobody reads what is left."""
+        """Discard the rest of the body, so that the producer does not wait."""
         self.abandoned = True
         self.chunk = b""
         _resolve(self.taken)
 
     def take_ready(self) -> bytes:
-        """Return the next chunk if it is there already, else nothing."""
+        """Return the next chunk if it has arrived, else empty bytes."""
         if self.pushed_back:
             pushed_back, self.pushed_back = self.pushed_back, b""
             return pushed_back
@@ -66,7 +69,7 @@
         return chunk
 
     async def get(self) -> bytes:
-        """Return the next chunk, empty at the end.
+        """Wait for the next chunk and return it; empty bytes mark the end.
 
         Raises
         ------
@@ -84,7 +87,7 @@
 
 
 class ReplayableBody:
-    """A request body that can be sent again while its start is still kept."""
+    """A request body that can be sent again while all of it fits into a buffer."""
 
     def __init__(self, pipe: BodyPipe | None, keep_bytes: int) -> None:
         self.pipe = pipe
@@ -96,15 +99,15 @@
 
     @property
     def replayable(self) -> bool:
-        """Return whether another attempt can send the body from its start."""
+        """Return whether the body can be sent again from its start."""
         return not self.overflowed
 
     def rewind(self) -> None:
-        """Start again at the first byte."""
+        """Make `get` start again at the first byte."""
         self.position = 0
 
     async def get(self) -> bytes:
-        """Return the next chunk, empty at the end."""
+        """Return the next chunk; empty bytes mark the end."""
         if self.pipe is None:
             return b""
         if self.position < len(self.kept):
--- a/sequoiaspoke/node/server.py
+++ b/sequoiaspoke/node/server.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers and other nodes: calls in, answers out."""
+"""HTTP server for calls from callers and from other nodes."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     from sequoiaspoke.node.client import Answer
     from sequoiaspoke.settings.schema import LimitSettings
 
-# The library frames a body without a length only for these methods; passing it
-# on for others would send it unframed, and its bytes would be read as the next
-# caller's request.
+# Tornado sends a body of unknown length with chunked encoding only for these
+# methods. With other methods it would be forwarded without framing, and the next
+# hop would read its bytes as another caller's request.
 CHUNKED_METHODS = frozenset({"POST", "PUT", "PATCH"})
 
 
 class Writer:
-    """Write one answer to the connection that asked."""
+    """Writer of the response to one request."""
 
     def __init__(self, connection: HTTP1Connection) -> None:
         self.connection = connection
@@ -49,7 +49,7 @@
         self.refusal_headers: dict[str, str] = {}
 
     async def write_head(self, status: int, headers: HTTPHeaders, first: bytes) -> None:
-        """Write the head of an answer and what is there of its body."""
+        """Write the status, the headers and the first chunk of the body, if any."""
         self.started = True
         if self.close_after:
             headers["Connection"] = "close"
@@ -59,19 +59,19 @@
         )
 
     async def write(self, chunk: bytes) -> None:
-        """Write a piece of the body once the caller can take it."""
+        """Write a chunk of the body and wait until it is sent."""
         await self.connection.write(chunk)
 
     def finish(self) -> None:
-        """End the answer."""
+        """Finish the response."""
         self.connection.finish()
 
     def abort(self) -> None:
-        """Break the connection, so that a cut answer never looks whole."""
+        """Close the connection, so that a truncated answer never looks complete."""
         self.connection.close()
 
     def write_complete(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
-        """Write a complete short answer."""
+        """Write a complete response of known length."""
         self.started = True
         headers["Content-Length"] = str(len(body))
         if self.close_after:
@@ -83,7 +83,7 @@
         self.connection.finish()
 
     def refuse(self, error: CallError) -> None:
-        """Answer with a typed failure that says whether the call ran."""
+        """Answer with an error and headers that say whether the call ran."""
         headers = HTTPHeaders({"Content-Type": "text/plain; charset=utf-8"})
         headers[names.RAN] = error.ran.value
         headers[names.REASON] = error.code
@@ -99,17 +99,17 @@
         )
 
     async def relay(self, answer: Answer, headers: HTTPHeaders, idle: float) -> None:
-        """Pass an answer on as it arrives.
+        """Stream an answer to the caller as it arrives.
 
         Raises
         ------
         CallError
-            The answer broke off or stood still for `idle` seconds; the
-            connection has then been broken too.
+            The answer broke off or made no progress for `idle` seconds. The
+            connection to the caller is closed then.
         """
         try:
-            # A short answer goes out whole at once: sent in two pieces it would
-            # wake the next node twice, and the hop would take longer.
+            # The first chunk goes out with the head: two writes would wake the next
+            # node twice for a short answer and add latency to the hop.
             await self.write_head(answer.status, headers, answer.body.take_ready())
             while True:
                 async with asyncio.timeout(idle):
@@ -119,7 +119,7 @@
                     await self.write(chunk)
             self.finish()
         except StreamClosedError as error:
-            raise ConnectionLostError("the caller has gone") from error
+            raise ConnectionLostError("the caller disconnected") from error
         except TimeoutError as error:
             self.abort()
             raise ConnectionLostError(f"no progress for {idle:g} s") from error
@@ -129,7 +129,7 @@
 
 
 class IncomingCall:
-    """One request as it came in, and the way to answer it."""
+    """A request and the writer of its response."""
 
     def __init__(
         self,
@@ -148,15 +148,15 @@
 
 
 class CallHandler(ABC):
-    """What a listening port does with a call."""
+    """Base class of the handlers of a listening port."""
 
     @abstractmethod
     async def handle(self, call: IncomingCall) -> None:
-        """Answer a call; typed failures may be raised."""
+        """Answer a call; a `CallError` that is raised becomes the answer."""
 
 
 class CallServer(HTTPServerConnectionDelegate):
-    """A listening port whose calls go to a handler."""
+    """HTTP server that passes each call to a handler."""
 
     def __init__(
         self,
@@ -184,11 +184,11 @@
         server_conn: object,  # noqa: ARG002
         request_conn: HTTP1Connection,
     ) -> HTTPMessageDelegate:
-        """Begin a request; called by the library."""
+        """Return the reader of a new request; called by Tornado."""
         return CallReader(self, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Take the end of a connection; called by the library."""
+        """Ignore the end of a connection; called by Tornado."""
 
     async def wait_idle(self) -> None:
         """Wait until no call is in flight."""
@@ -199,7 +199,7 @@
         await idle
 
     def call_ended(self) -> None:
-        """Count a call that has ended."""
+        """Count down the calls in flight and wake those who wait for zero."""
         self.in_flight -= 1
         if self.in_flight:
             return
@@ -209,7 +209,7 @@
 
 
 class CallReader(HTTPMessageDelegate):
-    """Read one request and run its handler beside the reading."""
+    """Reader of one request, which runs the handler while the body arrives."""
 
     def __init__(self, server: CallServer, connection: HTTP1Connection) -> None:
         self.server = server
@@ -220,7 +220,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the request's head; called by the library."""
+        """Start the handler once the request's head is read; called by Tornado."""
         assert isinstance(start_line, RequestStartLine)
         writer = Writer(self.connection)
         writer.close_after = self.server.draining
@@ -236,29 +236,29 @@
         self.server.in_flight += 1
         self.connection.set_close_callback(self.on_connection_close)
         self.task = asyncio.get_running_loop().create_task(self.run(call))
-        # A call whose caller breaks off at once is cancelled before `run` takes
-        # its first step. Counted there, it would stay in flight for good, and
-        # every later stop would wait for it until its grace is over.
+        # If the caller disconnects at once, the task is cancelled before `run` takes
+        # its first step. Counting down in `run` would then leave the call in flight
+        # for good, and each later stop would wait for its whole grace period.
         self.task.add_done_callback(self.handle_task_end)
 
     def data_received(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Take a piece of the body; called by the library."""
+        """Pass a chunk of the body to the handler; called by Tornado."""
         return self.body.put(chunk) if self.body else None
 
     def finish(self) -> None:
-        """Take the end of the body; called by the library."""
+        """Mark the body as complete; called by Tornado."""
         if self.body:
             self.body.end()
 
     def on_connection_close(self) -> None:
-        """Cancel the call of a caller who has gone; called by the library."""
+        """Cancel the call of a caller who disconnected; called by Tornado."""
         if self.body:
-            self.body.fail(ConnectionLostError("the caller has gone"))
+            self.body.fail(ConnectionLostError("the caller disconnected"))
         if self.task:
             self.task.cancel()
 
     async def run(self, call: IncomingCall) -> None:
-        """Run the handler and turn its failure into an answer."""
+        """Run the handler and answer with the error that it raises."""
         try:
             await self.server.handler.handle(call)
         except CallError as error:
@@ -271,13 +271,13 @@
             self.answer_failure(call, CallError("internal error"))
 
     def handle_task_end(self, task: asyncio.Task[None]) -> None:  # noqa: ARG002
-        """Let go of what the call held."""
+        """Discard the rest of the body and count the call as ended."""
         if self.body:
             self.body.abandon()
         self.server.call_ended()
 
     def answer_failure(self, call: IncomingCall, error: CallError) -> None:
-        """Send the failure, or break an answer that has begun."""
+        """Answer with the error, or close the connection if an answer has started."""
         if call.writer.started:
             call.writer.abort()
             return
@@ -291,15 +291,15 @@
     Raises
     ------
     BadRequestError
-        Its length is told in two ways, or in none that can be passed on. Two
-        readers of such a request would see two different requests in it, and
-        the second could be run in another caller's name.
+        The length is ambiguous or cannot be forwarded. Two servers could split
+        such a request differently (request smuggling), and the remainder could
+        run as a request of another caller.
     HTTPInputError
-        The library refuses the transfer encoding.
+        Tornado refuses the transfer encoding.
     """
     lengths = headers.get_list("Content-Length")
     if len(lengths) > 1 or (lengths and not _is_number(lengths[0])):
-        raise BadRequestError("Content-Length is not one whole number")
+        raise BadRequestError("Content-Length is not a single whole number")
     if is_transfer_encoding_chunked(headers):
         if method not in CHUNKED_METHODS:
             raise BadRequestError(f"a chunked body is not accepted with {method}")
--- a/sequoiaspoke/tests/test_loadsockets.py
+++ b/sequoiaspoke/tests/test_loadsockets.py
@@ -1,7 +1,7 @@
-"""Tests of the patterns of load through two nodes over real sockets.
+"""Tests of load patterns through two nodes over real sockets.
 
-Upstreams hold the calls until the test releases them, so that what is full, what
-waits and what is refused does not depend on the speed of the machine.
+Upstreams hold the calls until the test releases them, so that which calls run, wait
+or are refused does not depend on the speed of the machine.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 
 
 def start_calls(port, count, *lines, path="/"):
-    """Begin so many calls at once."""
+    """Start `count` calls at once."""
     call = request("GET", path, *lines)
     return [asyncio.ensure_future(raw(port, call)) for _ in range(count)]
 
 
 async def count_outcomes(tasks):
-    """Count how calls ended, by what their callers were told."""
+    """Count the answers by whether they say that the call ran."""
     return Counter(header(answer, names.RAN) for answer in await asyncio.gather(*tasks))
 
 
@@ -52,7 +52,7 @@
         self.run_with(prepared)
 
     def test_a_burst_waits_and_is_answered(self):
-        """Forty families open the same page as a ceremony begins."""
+        """Forty calls come at once; those above the slots wait in the queue."""
 
         async def test(port, far, admission):
             burst = start_calls(port, 40, HOLD)
@@ -64,10 +64,10 @@
         self.run_pattern(test)
 
     def test_saturation_refuses_the_excess_and_runs_the_rest(self):
-        """Far more calls come than the target bears.
+        """More calls come at once than the target has slots and queue for.
 
-        Those turned away hear it while the others still wait, with a time to
-        return, and whoever hears "not run" was not run.
+        The excess is refused while the others still wait, with a Retry-After
+        header, and a call that is answered with "not-run" has not run.
         """
 
         async def test(port, far, admission):
@@ -94,7 +94,7 @@
         self.run_pattern(test)
 
     def test_a_flooding_caller_does_not_crowd_out_others(self):
-        """A clerk's script fills the target and its queue before others call."""
+        """One caller fills the target's slots and queue before others call."""
 
         async def test(port, far, admission):
             flood = start_calls(port, 100, HOLD, "X-Member: script")
@@ -113,7 +113,7 @@
         self.run_pattern(test)
 
     def test_short_calls_are_served_beside_long_ones(self):
-        """Archive pages fill the target while members look at the portal."""
+        """Slow calls under one rule take the slots; short calls of another come."""
         text = ROUTE.replace("rule all", "rule archive").replace(
             "when = always", "when = path prefix /archive"
         )
@@ -138,7 +138,7 @@
         self.run_pattern(test, text + ROUTE)
 
     def test_a_slow_target_gets_no_more_than_it_has_slots_for(self):
-        """The target in the caller's zone stops answering but takes calls."""
+        """The target in the caller's zone accepts calls but does not answer."""
 
         async def test(deployment):
             version = deployment.publish(rules(ROUTE))
@@ -165,9 +165,9 @@
 
 
 class LeavingTests(LoopbackTestCase):
-    """A VM is about to be replaced.
+    """Guards against new calls to a VM that is about to be replaced.
 
-    Calls that still reach it are cut when it goes, or wait for its grace.
+    They would be aborted when it stops, or prolong its grace period.
     """
 
     def test_a_vm_listed_as_leaving_gets_no_new_calls(self):
@@ -199,9 +199,9 @@
         self.run_with(test)
 
     def test_a_target_whose_upstream_drains_says_so(self):
-        """An operator drains the upstream and leaves its node alone.
+        """Only the upstream drains, not its node.
 
-        Every call there would be refused and need another attempt.
+        If the node did not report it, each call there would be refused and retried.
         """
 
         async def test(deployment):
--- a/sequoiaspoke/tests/test_node.py
+++ b/sequoiaspoke/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of the shell over real sockets: calls through one and two nodes."""
+"""Tests of calls through one and two nodes over real sockets."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 
 async def two_hops(deployment, text=LoopbackTestCase.RULES):
-    """Leave one target, so that calls at the first node take two hops."""
+    """Mark the near VM as leaving, so that calls to its node take two hops."""
     near, far = deployment.sites
     near.leaving = True
     version = deployment.publish(rules(text))
@@ -112,10 +112,10 @@
         self.run_with(test)
 
     def test_a_slow_reader_applies_back_pressure(self):
-        """A family's line takes a recording slower than the upstream sends it.
+        """Guards against unbounded buffering when a caller reads slowly.
 
-        Without back pressure the rest piles up in the node's memory until the
-        node is killed and every call on it is lost.
+        Without back pressure the node buffers the rest of a large answer until it
+        runs out of memory, and every call on it is lost.
         """
 
         async def test(deployment):
@@ -138,11 +138,10 @@
 
 
 class FramingTests(LoopbackTestCase):
-    """A caller sends a request that two readers would cut in different places.
+    """Guards against request smuggling.
 
-    The bytes after the cut would be run as a request of their own, in the name
-    of whoever uses the connection next; a member would find a booking that
-    nobody made.
+    Two servers that disagree on where a request ends would run the bytes after it
+    as a request of whoever uses the connection next.
     """
 
     HEADS = (
@@ -181,10 +180,10 @@
         self.run_with(test)
 
     def test_a_caller_who_breaks_off_at_once_leaves_nothing_in_flight(self):
-        """A scanner sends broken requests just before a planned stop.
+        """Guards against broken requests that stay counted as in flight.
 
-        Were they counted as in flight for good, the stop would wait out its
-        whole grace, and the VM would be replaced late.
+        A planned stop would then wait for its whole grace period, and the VM would
+        be replaced late.
         """
 
         async def test(deployment):
@@ -207,9 +206,9 @@
 
 class FailedCallTests(LoopbackTestCase):
     def test_a_caller_who_leaves_cancels_the_run(self):
-        """A mourner closes the page while the upstream still works.
+        """Guards against work for callers who have disconnected.
 
-        Work that nobody waits for would keep slots from those who wait.
+        It would occupy slots that other calls wait for.
         """
 
         async def test(deployment):
@@ -223,9 +222,9 @@
         self.run_with(test)
 
     def test_a_truncated_answer_never_looks_whole(self):
-        """An upstream dies in the middle of its answer.
+        """Guards against a truncated answer that is relayed as a complete one.
 
-        A family that got half a page with a proper end would take it for all.
+        The upstream fails in the middle of its answer.
         """
 
         async def test(deployment):
@@ -237,9 +236,10 @@
         self.run_with(test)
 
     def test_a_call_that_may_have_run_is_not_retried(self):
-        """The connection breaks after the upstream ran a charge.
+        """Guards against a call that runs twice, such as a charge.
 
-        A second attempt would charge the member's account twice.
+        The connection breaks after the upstream ran the call, so a retry would run
+        it again.
         """
 
         async def test(deployment):
@@ -254,7 +254,7 @@
         self.run_with(test)
 
     def test_an_idempotent_call_is_tried_at_the_next_target(self):
-        """One target breaks every connection; the other works."""
+        """The upstream of one target is down; the other works."""
 
         async def test(deployment):
             near, far = deployment.sites
@@ -281,9 +281,9 @@
 
 
 class PlannedStopTests(LoopbackTestCase):
-    """An operator replaces a VM while foremen's calls run on it.
+    """Guards against a planned stop that aborts calls in flight.
 
-    A stop that cut them would leave a booking whose outcome nobody knows.
+    Their callers could not tell whether the calls ran.
     """
 
     def test_a_stop_cuts_no_call_in_flight(self):
