--- a/sequoiaspoke/node/directcalls.py
+++ b/sequoiaspoke/node/directcalls.py
@@ -64,7 +64,7 @@
         """Run a call directly at the upstream under a grant."""
         target = call.target
         try:
-            answer = await self.home.hand_over(call, self.upstream_pools[target])
+            answer = await self.home.send_to_upstream(call, self.upstream_pools[target])
         except BaseException as error:
             self.send(self.core.done(target, grant))
             if isinstance(error, UpstreamShedError):
--- a/sequoiaspoke/node/grantserver.py
+++ b/sequoiaspoke/node/grantserver.py
@@ -50,7 +50,7 @@
         else:
             self.core.returned(message)
         self.update_admission()
-        call.writer.whole(200, headers, b"")
+        call.writer.write_complete(200, headers, b"")
 
     def ask(self, message: Ask) -> str:
         """Return the answer to a request as a header value."""
@@ -90,7 +90,7 @@
         """Reserve the granted slots in admission and use the returned ones."""
         gate = self.home.gate
         gate.admission.reserved = self.core.reserved
-        gate.act(gate.admission.tick(asyncio.get_running_loop().time()))
+        gate.apply_verdicts(gate.admission.tick(asyncio.get_running_loop().time()))
 
     async def wait_until_returned(self, seconds: float) -> None:
         """Wait until no entry runs a call at the upstream under a grant.
--- a/sequoiaspoke/node/headers.py
+++ b/sequoiaspoke/node/headers.py
@@ -1,4 +1,4 @@
-"""Header names between nodes, and which headers end at each hop."""
+"""Names of the mesh's headers, and the headers that are forwarded."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 IDEMPOTENCY_ATTEMPT = "Idempotency-Attempt"
 FIRST_ATTEMPT = "first"
 YES = "yes"
-# GET this with a service's name for keys that one of its targets issues.
+# GET this path, with a service's name appended, returns keys issued by a target.
 KEYS_PATH = "/.well-known/sequoiaspoke/keys/"
 
 HOP_BY_HOP = frozenset(
@@ -53,27 +53,33 @@
 
 
 def end_to_end(headers: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers that travel on; the mesh's own do not."""
-    named = [name.strip().lower() for name in headers.get("Connection", "").split(",")]
+    """Return the headers to forward, without hop-by-hop ones and the mesh's own."""
+    connection_options = [
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    ]
     kept = HTTPHeaders()
     for name, value in headers.get_all():
-        if name in HOP_BY_HOP or name.startswith(PREFIX) or name.lower() in named:
+        if (
+            name in HOP_BY_HOP
+            or name.startswith(PREFIX)
+            or name.lower() in connection_options
+        ):
             continue
         kept.add(name, value)
     return kept
 
 
-def of_answer(answer: Answer) -> HTTPHeaders:
-    """Return the headers with which an upstream's answer travels on."""
+def answer_headers(answer: Answer) -> HTTPHeaders:
+    """Return the headers with which an upstream's answer is forwarded."""
     headers = end_to_end(answer.headers)
     headers[RAN] = Ran.RAN.value
-    if answer.repeat:
+    if answer.replayed:
         headers[REPEAT] = YES
     return headers
 
 
 def whole_number(headers: HTTPHeaders, name: str, default: int) -> int:
-    """Return a header's number, or the default where it is none."""
+    """Return the number in a header, or the default if it has none."""
     text = headers.get(name, "")
     return (
         int(text) if text.isascii() and text.isdigit() and len(text) < 16 else default
--- a/sequoiaspoke/node/keyedhome.py
+++ b/sequoiaspoke/node/keyedhome.py
@@ -195,7 +195,7 @@
             call,
             body=WholeBody(body) if call.body else None,
             before_send=lambda: self.check_hand_over(key),
-            patience=self.settings.patience,
+            min_wait=self.settings.patience,
         )
         task = loop.create_task(self.execute(key_run, attempt, key))
         self.tasks.add(task)
@@ -212,7 +212,7 @@
     async def execute(self, key_run: KeyRun, call: HomeCall, key: Key) -> None:
         """Run a call and record the outcome of its key."""
         try:
-            answer = await self.home.run_now(call)
+            answer = await self.home.admit_and_run(call)
             kept = await self.read_answer(key_run, answer)
             self.core.finished(key, kept, moment())
             key_run.done.set_result(kept)
--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -16,7 +16,7 @@
     status,
     until,
 )
-from sequoiaspoke.tests.test_node import body_of, runs
+from sequoiaspoke.tests.test_node import body_of, total_runs
 
 ZONE = "akaki"
 FIRST = f"{names.IDEMPOTENCY_ATTEMPT}: {names.FIRST_ATTEMPT}"
@@ -68,7 +68,7 @@
             self.assertEqual(
                 ("", "yes"), (header(first, names.REPEAT), header(again, names.REPEAT))
             )
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -97,12 +97,12 @@
         async def test(deployment, ports, key):
             slow = book(key, "Standin-Service-Ms: 300")
             call = asyncio.ensure_future(raw(ports[1], slow))
-            await until(lambda: runs(deployment) == 1)
+            await until(lambda: total_runs(deployment) == 1)
             call.cancel()
             again = await raw(ports[0], slow)
             self.assertEqual((200, "", "ran"), outcome(again))
             self.assertEqual("yes", header(again, names.REPEAT))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -127,7 +127,7 @@
             await raw(ports[0], book(key))
             other = await raw(ports[1], book(key, body=b"crusher 8"))
             self.assertEqual((422, "key-reused"), outcome(other)[:2])
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -162,7 +162,7 @@
             self.assertEqual(expected, outcome(first)[1])
             again = await raw(ports[1], book(key))
             self.assertEqual((409, "key-outcome-unknown"), outcome(again)[:2])
-            self.assertEqual(ran, runs(deployment))
+            self.assertEqual(ran, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -194,7 +194,7 @@
             upstream.draining = False
             again = await raw(ports[0], book(key))
             self.assertEqual((503, "key-refused", "not-run"), outcome(again))
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -235,7 +235,7 @@
             again = await raw(ports[1], book(fresh))
             unknown = Ran.OUTCOME_UNKNOWN.value
             self.assertEqual((409, "key-too-old", unknown), outcome(again))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -276,7 +276,7 @@
             for each in (issued[0], issued[0], issued[1]):
                 answer = await raw(ports[1], book(each))
                 self.assertEqual((200, "", "ran"), outcome(answer))
-            self.assertEqual(2, runs(deployment))
+            self.assertEqual(2, total_runs(deployment))
 
         self.run_keyed(test)
 
@@ -297,6 +297,6 @@
         async def test(deployment, ports, key):
             answers = [outcome(await raw(port, book(key)))[0] for port in ports]
             self.assertEqual([200, 200], answers)
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_keyed(test)
--- a/sequoiaspoke/tests/test_node.py
+++ b/sequoiaspoke/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of the shell over real sockets: calls through one and two nodes."""
+"""Tests of calls through one and two nodes over real sockets."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 
 async def two_hops(deployment, text=LoopbackTestCase.RULES):
-    """Leave one target, so that calls at the first node take two hops."""
+    """Mark the near VM as leaving, so that calls to its node take two hops."""
     near, far = deployment.sites
     near.leaving = True
     version = deployment.publish(rules(text))
@@ -32,7 +32,7 @@
     return near.node.ports["call"], far
 
 
-def runs(deployment):
+def total_runs(deployment):
     return sum(site.upstream.runs_total for site in deployment.sites)
 
 
@@ -40,7 +40,7 @@
     return answer.partition(b"\r\n\r\n")[2]
 
 
-class WholePathTests(LoopbackTestCase):
+class EndToEndTests(LoopbackTestCase):
     def test_a_call_passes_two_nodes_with_its_own_headers_only(self):
         async def test(deployment):
             port, far = await two_hops(deployment)
@@ -74,11 +74,11 @@
             self.assertEqual(
                 [(410, "refused-by-rule"), (307, ""), (404, "no-rule")], told
             )
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
-    def test_calls_finish_under_the_rules_they_began_with(self):
+    def test_calls_finish_under_the_rules_they_started_with(self):
         async def test(deployment):
             port, far = await two_hops(deployment)
             slow = request("GET", "/hire", "Standin-Service-Ms: 200")
@@ -111,11 +111,11 @@
 
         self.run_with(test)
 
-    def test_a_slow_reader_holds_the_recording_back(self):
-        """A family's line takes a recording slower than the upstream sends it.
+    def test_a_slow_reader_applies_back_pressure(self):
+        """Guards against unbounded buffering when a caller reads slowly.
 
-        Without back pressure the rest piles up in the node's memory until the
-        node is killed and every call on it is lost.
+        Without back pressure the node buffers the rest of a large answer until it
+        runs out of memory, and every call on it is lost.
         """
 
         async def test(deployment):
@@ -138,11 +138,10 @@
 
 
 class FramingTests(LoopbackTestCase):
-    """A caller sends a request that two readers would cut in different places.
+    """Guards against request smuggling.
 
-    The bytes after the cut would be run as a request of their own, in the name
-    of whoever uses the connection next; a member would find a booking that
-    nobody made.
+    Two servers that disagree on where a request ends would run the bytes after it
+    as a request of whoever uses the connection next.
     """
 
     HEADS = (
@@ -165,7 +164,7 @@
                 answer = await raw(port, head + b"0\r\n\r\nGET /next HTTP/1.1\r\n\r\n")
                 self.assertEqual(400, status(answer), head)
                 self.assertEqual(1, answer.count(b"HTTP/1.1 "), head)
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
@@ -181,10 +180,10 @@
         self.run_with(test)
 
     def test_a_caller_who_breaks_off_at_once_leaves_nothing_in_flight(self):
-        """A scanner sends broken requests just before a planned stop.
+        """Guards against broken requests that stay counted as in flight.
 
-        Were they counted as in flight for good, the stop would wait out its
-        whole grace, and the VM would be replaced late.
+        A planned stop would then wait for its whole grace period, and the VM would
+        be replaced late.
         """
 
         async def test(deployment):
@@ -200,16 +199,16 @@
             port = deployment.sites[0].node.ports["call"]
             answer = await raw(port, request("GET", "/", "X-Long: " + "x" * 70_000))
             self.assertNotEqual(200, status(answer))
-            self.assertEqual(0, runs(deployment))
+            self.assertEqual(0, total_runs(deployment))
 
         self.run_with(test)
 
 
 class FailedCallTests(LoopbackTestCase):
     def test_a_caller_who_leaves_cancels_the_run(self):
-        """A mourner closes the page while the upstream still works.
+        """Guards against work for callers who have disconnected.
 
-        Work that nobody waits for would keep slots from those who wait.
+        It would occupy slots that other calls wait for.
         """
 
         async def test(deployment):
@@ -223,9 +222,9 @@
         self.run_with(test)
 
     def test_a_truncated_answer_never_looks_whole(self):
-        """An upstream dies in the middle of its answer.
+        """Guards against a truncated answer that is relayed as a complete one.
 
-        A family that got half a page with a proper end would take it for all.
+        The upstream fails in the middle of its answer.
         """
 
         async def test(deployment):
@@ -236,10 +235,11 @@
 
         self.run_with(test)
 
-    def test_a_call_that_may_have_run_is_not_repeated(self):
-        """The connection breaks after the upstream ran a charge.
+    def test_a_call_that_may_have_run_is_not_retried(self):
+        """Guards against a call that runs twice, such as a charge.
 
-        A second attempt would charge the member's account twice.
+        The connection breaks after the upstream ran the call, so a retry would run
+        it again.
         """
 
         async def test(deployment):
@@ -249,12 +249,12 @@
             self.assertEqual(502, status(answer))
             self.assertEqual("outcome-unknown", header(answer, names.RAN))
             self.assertEqual("connection-lost", header(answer, names.REASON))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_with(test)
 
     def test_an_idempotent_call_is_tried_at_the_next_target(self):
-        """One target breaks every connection; the other works."""
+        """The upstream of one target is down; the other works."""
 
         async def test(deployment):
             near, far = deployment.sites
@@ -281,9 +281,9 @@
 
 
 class PlannedStopTests(LoopbackTestCase):
-    """An operator replaces a VM while foremen's calls run on it.
+    """Guards against a planned stop that aborts calls in flight.
 
-    A stop that cut them would leave a booking whose outcome nobody knows.
+    Their callers could not tell whether the calls ran.
     """
 
     def test_a_stop_cuts_no_call_in_flight(self):
@@ -296,7 +296,7 @@
             self.assertEqual(200, status(await call))
             answer = await raw(port, request("GET", "/"))
             self.assertEqual("not-run", header(answer, names.RAN))
-            self.assertEqual(1, runs(deployment))
+            self.assertEqual(1, total_runs(deployment))
 
         self.run_with(test)
 
