--- a/sequoiaspoke/tests/test_keyed.py
+++ b/sequoiaspoke/tests/test_keyed.py
@@ -58,7 +58,7 @@
         await deployment.keys_run(30)
 
 
-class RetryTests(KeyedCase):
+class KeyedRetryTests(KeyedCase):
     def test_retry_through_another_zone_gets_the_first_answer(self):
         async def test(deployment, ports, key):
             first = await raw(ports[0], book(key))
--- a/sequoiaspoke/tests/test_mesh_incarnations.py
+++ b/sequoiaspoke/tests/test_mesh_incarnations.py
@@ -30,7 +30,7 @@
 OTHER = Endpoint("i-2", "fleet", "10.0.0.2", 80, "bole", 4, born=FIRST)
 
 
-class DirectoryTests(TestCase):
+class DirectoryIncarnationTests(TestCase):
     def setUp(self):
         super().setUp()
         self.directory = Directory()
@@ -251,7 +251,7 @@
         pass
 
 
-class HomeTests(TestCase):
+class HomeIncarnationTests(TestCase):
     def run_scenario(self, scenario):
         async def run():
             log = EventLog("x-request-id")
--- a/sequoiaspoke/tests/test_mesh_spread.py
+++ b/sequoiaspoke/tests/test_mesh_spread.py
@@ -190,7 +190,7 @@
         self.assertEqual(history.delta_since(2).base, 0)
 
 
-class DirectoryTests(TestCase):
+class PeerDirectoryTests(TestCase):
     def setUp(self):
         super().setUp()
         self.directory = Directory()
